--- a/internal/hop/conn.go
+++ b/internal/hop/conn.go
@@ -15,108 +15,109 @@
 )
 
 const (
-	// dialTimeout is ten round trips between far regions, and well below the second
-	// after which TCP sends a lost first packet again: another endpoint is sooner.
+	// dialTimeout is ten round trips between distant regions, and well below the 1 s after
+	// which TCP retransmits a lost first packet: trying another endpoint is faster.
 	dialTimeout = 300 * time.Millisecond
 	bufferSize  = 4 << 10
-	// idleTimeout is how long an unused connection to a backend server is kept:
-	// shorter than the servers keep theirs, so that it is rarely closed under a request.
-	idleTimeout = 30 * time.Second
-	// peerIdleTimeout is the same for connections between nodes. A node of a fleet calls
-	// many others now and then; each connection that is kept costs 12 KB of memory, both
-	// ends together (BenchmarkWaitingConnection), a new one a round trip.
+	// backendIdleTimeout is how long an idle connection to a backend server is kept. It is
+	// shorter than the idle timeout of the servers, so that a connection is rarely closed
+	// while a request is being sent on it.
+	backendIdleTimeout = 30 * time.Second
+	// peerIdleTimeout is the same for connections between nodes. A node of a large fleet
+	// calls many others occasionally; each idle connection costs 12 KB of memory, both ends
+	// together (BenchmarkIdleConnection), a new one a round trip.
 	peerIdleTimeout = 5 * time.Second
-	maxIdle         = 256
+	maxIdleConns    = 256
 )
 
-// Pool keeps connections to one address. Safe for concurrent use.
+// Pool holds connections to one address. Safe for concurrent use.
 type Pool struct {
 	address  string
 	security *transport.Security
 
-	// keep is how long an unused connection is kept.
-	keep time.Duration
+	// maxIdleTime is how long an idle connection is kept.
+	maxIdleTime time.Duration
 
 	mu   sync.Mutex
 	idle []*conn
-	// reaper closes connections that are unused for too long; nil while none is kept.
+	// reaper closes connections that were idle for too long; nil if there are no idle ones.
 	reaper *time.Timer
 	closed bool
-	// distance is the shortest time seen to open a connection, halved.
+	// distance is half of the shortest time in which a connection was opened.
 	distance time.Duration
 }
 
-// NewPool returns a pool without connections; security is nil for plain text.
+// NewPool returns an empty pool; security is nil for plain text.
 func NewPool(address string, security *transport.Security) *Pool {
-	return &Pool{address: address, security: security, keep: idleTimeout}
+	return &Pool{address: address, security: security, maxIdleTime: backendIdleTimeout}
 }
 
 // NewPeerPool returns a pool of connections to another node.
 func NewPeerPool(address string, security *transport.Security) *Pool {
-	return &Pool{address: address, security: security, keep: peerIdleTimeout}
+	return &Pool{address: address, security: security, maxIdleTime: peerIdleTimeout}
 }
 
-// Address is where the pool connects to.
+// Address returns the address that the pool connects to.
 func (p *Pool) Address() string { return p.address }
 
 type conn struct {
 	net.Conn
-	reader *bufio.Reader
-	writer *bufio.Writer
-	raw    syscall.RawConn
-	since  time.Time
-	reused bool
-	// failed: a body broke off on the connection, and nothing on it is read or
-	// written any more.
+	reader    *bufio.Reader
+	writer    *bufio.Writer
+	raw       syscall.RawConn
+	idleSince time.Time
+	reused    bool
+	// failed is set when sending a body failed; nothing more is read from or written to the
+	// connection.
 	failed atomic.Bool
-	// peek looks at the socket without reading from it; it is made once, since a
-	// look comes before every request. It leaves its finding in clean.
-	peek   func(fd uintptr) bool
-	peeked [1]byte
-	clean  bool
+	// peek looks at the socket without consuming data and sets wouldBlock. It runs before
+	// every request on a reused connection, so the function is created only once.
+	peek       func(fd uintptr) bool
+	peekBuffer [1]byte
+	wouldBlock bool
 }
 
-// Buffers are shared: of a fleet's connections few are in use at any moment. A waiting
-// connection takes 12 KB with both its ends, and took 17 with buffers of its own
-// (BenchmarkWaitingConnection).
+// Buffers are shared, because few connections of a large fleet are in use at any moment.
+// An idle connection takes 12 KB, both ends together, and took 17 KB with its own buffers
+// (BenchmarkIdleConnection).
 var (
-	readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, bufferSize) }}
-	writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
+	readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, bufferSize) }}
+	writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
 )
 
-// takeBuffers gives the connection buffers for an exchange.
+// takeBuffers assigns buffers to the connection for an exchange.
 func (c *conn) takeBuffers() {
-	c.reader, c.writer = readers.Get().(*bufio.Reader), writers.Get().(*bufio.Writer)
+	c.reader, c.writer = readerPool.Get().(*bufio.Reader), writerPool.Get().(*bufio.Writer)
 	c.reader.Reset(c.Conn)
 	c.writer.Reset(c.Conn)
 }
 
-// returnBuffers takes them back. Both are empty after an exchange that left the
-// connection clean.
+// returnBuffers returns the buffers to their pools. Both are empty after an exchange that
+// left the connection reusable.
 func (c *conn) returnBuffers() {
 	c.reader.Reset(nil)
 	c.writer.Reset(nil)
-	readers.Put(c.reader)
-	writers.Put(c.writer)
+	readerPool.Put(c.reader)
+	writerPool.Put(c.writer)
 	c.reader, c.writer = nil, nil
 }
 
-// fail makes all reads and writes of the connection fail, now and later.
+// fail makes all current and later reads and writes of the connection fail.
 func (c *conn) fail() {
 	c.failed.Store(true)
-	_ = c.SetDeadline(longPast)
+	_ = c.SetDeadline(aLongTimeAgo)
 }
 
-// DialError means that no connection could be made: nothing was sent.
+// DialError means that the connection could not be established, so nothing was sent.
 type DialError struct {
 	Address string
 	Err     error
 }
 
-// Error names the address.
+// Error returns the cause with the address.
 func (e *DialError) Error() string { return "cannot connect to " + e.Address + ": " + e.Err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Err }
 
 // get returns an idle connection that is still open, or a new one.
@@ -126,7 +127,7 @@
 		if c == nil {
 			return p.dial(ctx)
 		}
-		if time.Since(c.since) < p.keep && c.quiet() {
+		if time.Since(c.idleSince) < p.maxIdleTime && c.isHealthy() {
 			c.reused = true
 			c.takeBuffers()
 			return c, nil
@@ -146,7 +147,7 @@
 	return c
 }
 
-// Reachable tells whether the address accepts a connection.
+// Reachable reports whether the address accepts a connection.
 func (p *Pool) Reachable() bool {
 	c, err := p.dial(context.Background())
 	if err != nil {
@@ -156,28 +157,28 @@
 	return true
 }
 
-// put keeps a connection whose exchange is complete, without its buffers.
+// put returns a connection to the pool after a complete exchange, without its buffers.
 func (p *Pool) put(c *conn) {
-	c.since = time.Now()
+	c.idleSince = time.Now()
 	c.returnBuffers()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || len(p.idle) >= maxIdle {
+	if p.closed || len(p.idle) >= maxIdleConns {
 		_ = c.Close()
 		return
 	}
 	p.idle = append(p.idle, c)
 	if p.reaper == nil {
-		p.reaper = time.AfterFunc(p.keep, p.reap)
+		p.reaper = time.AfterFunc(p.maxIdleTime, p.reap)
 	}
 }
 
-// reap closes the connections that were unused for too long. Left to the next use of
-// the pool, those to a node that is not called any more would stay for good.
+// reap closes connections that were idle for too long. If only the next use of the pool
+// did so, connections to a node that is no longer called would stay open indefinitely.
 func (p *Pool) reap() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for len(p.idle) > 0 && time.Since(p.idle[0].since) >= p.keep {
+	for len(p.idle) > 0 && time.Since(p.idle[0].idleSince) >= p.maxIdleTime {
 		_ = p.idle[0].Close()
 		p.idle = p.idle[1:]
 	}
@@ -185,10 +186,10 @@
 		p.idle, p.reaper = nil, nil
 		return
 	}
-	p.reaper.Reset(p.keep - time.Since(p.idle[0].since))
+	p.reaper.Reset(p.maxIdleTime - time.Since(p.idle[0].idleSince))
 }
 
-// Close drops the idle connections; exchanges under way end undisturbed.
+// Close closes the idle connections; exchanges in progress are not interrupted.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -203,7 +204,7 @@
 	}
 }
 
-// Distance is the measured one-way delay, or 0 before the first connection.
+// Distance returns the measured one-way delay, or 0 before the first connection.
 func (p *Pool) Distance() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -217,21 +218,21 @@
 	if err != nil {
 		return nil, &DialError{p.address, err}
 	}
-	p.measured(time.Since(start) / 2)
+	p.recordDistance(time.Since(start) / 2)
 	c := &conn{Conn: p.security.WrapClient(plain, p.address)}
 	c.takeBuffers()
 	if tcp, ok := plain.(*net.TCPConn); ok {
 		c.raw, _ = tcp.SyscallConn()
 	}
 	c.peek = func(fd uintptr) bool {
-		_, _, err := syscall.Recvfrom(int(fd), c.peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		c.clean = errors.Is(err, syscall.EAGAIN)
+		_, _, err := syscall.Recvfrom(int(fd), c.peekBuffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		c.wouldBlock = errors.Is(err, syscall.EAGAIN)
 		return true
 	}
 	return c, nil
 }
 
-func (p *Pool) measured(oneWay time.Duration) {
+func (p *Pool) recordDistance(oneWay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.distance == 0 || oneWay < p.distance {
@@ -239,13 +240,13 @@
 	}
 }
 
-// quiet tells whether an idle connection is open with nothing to read. One that
-// the peer closed would lose the request; one with bytes waiting holds an answer
-// to an earlier request, which must not reach this caller.
-func (c *conn) quiet() bool {
+// isHealthy reports whether an idle connection is open and has no data to read. A request
+// sent on a connection that the peer closed would be lost; unread data is a response to an
+// earlier request, which must not be returned to this caller.
+func (c *conn) isHealthy() bool {
 	if c.raw == nil {
 		return true
 	}
-	c.clean = false
-	return c.raw.Read(c.peek) == nil && c.clean
+	c.wouldBlock = false
+	return c.raw.Read(c.peek) == nil && c.wouldBlock
 }
--- a/internal/hop/header.go
+++ b/internal/hop/header.go
@@ -1,8 +1,8 @@
-// Package hop carries a request from one node to another, and from a node to
-// the backend server beside it: one exchange at a time on a pooled HTTP/1.1
-// connection, written and read by the calling goroutine. net/http's Transport
-// hands every request to two goroutines of its own, which costs more than the
-// rest of the path (docs/design/data-path.md).
+// Package hop sends a request from one node to another, and from a node to its local
+// backend server: one exchange at a time on a pooled HTTP/1.1 connection, written and
+// read by the calling goroutine. The Transport of net/http passes every request through
+// two goroutines of its own, which costs more than the rest of the path
+// (docs/design/data-path.md).
 package hop
 
 import (
@@ -18,18 +18,18 @@
 )
 
 const (
-	// Header carries a Request to a node and a Reply back. Callers cannot set it:
-	// the callers' listener drops it.
+	// Header carries a Request to a node and a Reply back. Callers cannot set it: the
+	// listener for callers removes it.
 	Header = "Cactus-Hop"
 	// ServiceHeader names the service of a request.
 	ServiceHeader = "Cactus-Service"
-	// TimeoutHeader tells the next layer how many milliseconds are left. A caller
-	// may set it to name a deadline.
+	// TimeoutHeader tells the next hop the remaining time in milliseconds. A caller may set
+	// it to specify a deadline.
 	TimeoutHeader = "Cactus-Timeout-Ms"
-	// HintHeader stands in an interim answer (102) and names the host that would end
+	// HintHeader is sent in an interim response (102) and names the host that would complete
 	// the request sooner.
 	HintHeader = "Cactus-Hint"
-	// AnyHost is a hint that names no host: any other endpoint will do.
+	// AnyHost is a hint that names no host: any other endpoint is suitable.
 	AnyHost = "*"
 
 	version   = "3"
@@ -42,38 +42,38 @@
 	flagRepeatable = 4
 )
 
-// Request is what the picking node tells the node of the picked endpoint.
+// Request is the metadata that the node that picked an endpoint sends to the endpoint's node.
 type Request struct {
 	ID gate.AttemptID
-	// Incarnation of the node that the attempt is meant for. A node that
-	// restarted since refuses it: it lost what it knew of earlier attempts.
+	// Incarnation identifies the process that the attempt is addressed to. A node that
+	// restarted since refuses it, because it lost its record of earlier attempts.
 	Incarnation uint64
-	// Timeout is what is left of the request's time. It is relative, so that no
-	// two clocks need to agree.
+	// Timeout is the remaining time of the request. It is relative, so that clocks need not
+	// be synchronized.
 	Timeout time.Duration
 	Movable bool
-	// Repeatable: it may run twice; the gate then tells of a sibling that would end
-	// it sooner than this one, by OnHint or an interim answer.
+	// Repeatable means that the request may run twice. The gate then names a sibling that
+	// would complete it sooner, by OnHint or an interim response.
 	Repeatable bool
-	// Revision is the newest configuration that the sender knows of.
+	// Revision is the newest configuration revision known to the sender.
 	Revision uint64
 	// From is the data centre where the request began, Bulky marks a large body.
 	From  string
 	Bulky bool
-	// Class is the route's name; its requests have like demands.
+	// Class is the route's name; requests of one class have similar service demands.
 	Class string
 	// Priority ranks the request; 0 is served first.
 	Priority int
-	// Aim is the time within which an answer is worth most, and AimLeft what is
-	// left of it, which may be less than nothing. Both are 0 without an aim.
+	// Aim is the target latency, within which a response is worth most. AimLeft is what
+	// remains of it, which may be negative. Both are 0 without a target.
 	Aim, AimLeft time.Duration
-	// Content identifies what the request asks for; zero while its body is not known.
+	// Content identifies what is requested; zero while the body is not known.
 	Content quarantine.Content
-	// Caller identifies who sends, for fair shares between callers.
+	// Caller identifies the sender, for fair sharing between callers.
 	Caller string
 }
 
-// Encode renders the header's value.
+// Encode returns the header's value.
 func (r Request) Encode() string {
 	flags := uint64(0)
 	if r.Movable {
@@ -125,64 +125,64 @@
 	return strconv.AppendUint(b, uint64(k), 16)
 }
 
-var errHeader = errors.New("malformed " + Header + " header; both nodes must run the same release")
+var errMalformedHeader = errors.New("malformed " + Header + " header; both nodes must run the same release")
 
-// fields splits a header into exactly n fields; the last keeps separators.
-func fields(value string, n int) ([]string, error) {
+// splitFields splits a header into exactly n fields; the last may contain separators.
+func splitFields(value string, n int) ([]string, error) {
 	f := strings.SplitN(value, separator, n)
 	if len(f) != n || f[0] != version {
-		return nil, errHeader
+		return nil, errMalformedHeader
 	}
 	return f, nil
 }
 
-// ParseRequest reads the header's value.
+// ParseRequest parses the header's value.
 func ParseRequest(value string) (Request, error) {
-	f, err := fields(value, requestFields)
+	f, err := splitFields(value, requestFields)
 	if err != nil {
 		return Request{}, err
 	}
 	p := parser{}
 	r := Request{ID: p.id(f[1]), Incarnation: p.uint(f[2]), Timeout: time.Duration(p.uint(f[3])) * time.Microsecond,
 		Revision: p.uint(f[5]), Priority: int(p.uint(f[6])), Aim: time.Duration(p.uint(f[7])) * time.Microsecond, AimLeft: p.micros(f[8]),
-		Content: quarantine.Content{Exact: p.key(f[9]), Alike: p.key(f[10])}, Class: p.text(f[11]), From: f[12], Caller: f[13]}
+		Content: quarantine.Content{Exact: p.key(f[9]), Alike: p.key(f[10])}, Class: p.unescape(f[11]), From: f[12], Caller: f[13]}
 	flags := p.uint(f[4])
 	r.Movable, r.Bulky, r.Repeatable = flags&flagMovable != 0, flags&flagBulky != 0, flags&flagRepeatable != 0
 	return r, p.err
 }
 
-// FormatID renders an attempt's id.
+// FormatID formats an attempt's ID.
 func FormatID(id gate.AttemptID) string { return string(appendID(nil, id)) }
 
-// parser reads fields and keeps the first error.
+// parser parses fields and keeps the first error.
 type parser struct{ err error }
 
-func (p *parser) uint(s string) uint64 { return p.base(s, 10) }
+func (p *parser) uint(s string) uint64 { return p.uintBase(s, 10) }
 
-// micros reads a time that may be negative.
+// micros parses a duration that may be negative.
 func (p *parser) micros(s string) time.Duration {
 	v, err := strconv.ParseInt(s, 10, 64)
 	if err != nil && p.err == nil {
-		p.err = errHeader
+		p.err = errMalformedHeader
 	}
 	return time.Duration(v) * time.Microsecond
 }
 
-func (p *parser) key(s string) quarantine.Key { return quarantine.Key(p.base(s, 16)) }
+func (p *parser) key(s string) quarantine.Key { return quarantine.Key(p.uintBase(s, 16)) }
 
-// text reads a name that may hold any character.
-func (p *parser) text(s string) string {
+// unescape decodes a name that may contain any character.
+func (p *parser) unescape(s string) string {
 	v, err := url.QueryUnescape(s)
 	if err != nil && p.err == nil {
-		p.err = errHeader
+		p.err = errMalformedHeader
 	}
 	return v
 }
 
-func (p *parser) base(s string, base int) uint64 {
+func (p *parser) uintBase(s string, base int) uint64 {
 	v, err := strconv.ParseUint(s, base, 64)
 	if err != nil && p.err == nil {
-		p.err = errHeader
+		p.err = errMalformedHeader
 	}
 	return v
 }
@@ -190,54 +190,55 @@
 func (p *parser) id(s string) gate.AttemptID {
 	parts := strings.Split(s, "-")
 	if len(parts) != 3 {
-		p.err = errHeader
+		p.err = errMalformedHeader
 		return gate.AttemptID{}
 	}
-	return gate.AttemptID{Request: [2]uint64{p.base(parts[0], 16), p.base(parts[1], 16)}, Attempt: uint32(p.base(parts[2], 10))}
+	return gate.AttemptID{Request: [2]uint64{p.uintBase(parts[0], 16), p.uintBase(parts[1], 16)}, Attempt: uint32(p.uintBase(parts[2], 10))}
 }
 
-// Verdict tells what became of an attempt at the endpoint's node.
+// Verdict is the outcome of an attempt at the endpoint's node.
 type Verdict int
 
-// Verdicts.
+// The outcomes of an attempt.
 const (
-	// Ran: the answer is the backend server's own.
+	// Ran means that the response is that of the backend server.
 	Ran Verdict = iota
-	// Refused: the gate refused it before it ran.
+	// Refused means that the gate refused the attempt before it ran.
 	Refused
-	// Moved: the gate names a sibling; it did not run here.
+	// Moved means that the gate names a sibling; the attempt did not run here.
 	Moved
-	// Restarted: the node is another incarnation than the one addressed.
+	// Restarted means that the node is another incarnation than the one addressed.
 	Restarted
-	// Unreached: the backend server accepted no connection; it did not run.
+	// Unreached means that the backend server accepted no connection; the attempt did not run.
 	Unreached
-	// Broke: the connection to the backend server broke before its answer; it may have run.
+	// Broke means that the connection to the backend server was lost before the response; the
+	// attempt may have run.
 	Broke
-	// Rejected: the backend server said that it did not run the request.
+	// Rejected means that the backend server reported that it did not run the request.
 	Rejected
 )
 
-// String names the verdict.
+// String returns the name of the verdict.
 func (v Verdict) String() string {
 	return [...]string{"ran", "refused", "moved", "restarted", "unreached", "broke", "rejected"}[v]
 }
 
-// Reply is what the endpoint's node tells back, beside the answer.
+// Reply is the metadata that the endpoint's node returns with the response.
 type Reply struct {
 	ID      gate.AttemptID
 	Verdict Verdict
 	Reason  gate.Reason
-	// RetryAfter is when to come back after a refusal.
+	// RetryAfter is the delay before a retry after a refusal.
 	RetryAfter time.Duration
-	// Everywhere: the siblings are as full.
+	// Everywhere means that the siblings are equally full.
 	Everywhere bool
-	// To is the sibling's host of a Moved verdict.
+	// To is the sibling's host if the verdict is Moved.
 	To string
-	// Incarnation and Revision are the answering node's.
+	// Incarnation and Revision are those of the responding node.
 	Incarnation, Revision uint64
 }
 
-// Encode renders the header's value.
+// Encode returns the header's value.
 func (r Reply) Encode() string {
 	everywhere := uint64(0)
 	if r.Everywhere {
@@ -257,9 +258,9 @@
 	return string(b)
 }
 
-// ParseReply reads the header's value.
+// ParseReply parses the header's value.
 func ParseReply(value string) (Reply, error) {
-	f, err := fields(value, 9)
+	f, err := splitFields(value, 9)
 	if err != nil {
 		return Reply{}, err
 	}
--- a/internal/hop/hop_test.go
+++ b/internal/hop/hop_test.go
@@ -21,9 +21,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func far() time.Time { return time.Now().Add(time.Minute) }
+func farDeadline() time.Time { return time.Now().Add(time.Minute) }
 
-// newTestPool is a pool that is closed with its test.
+// newTestPool returns a pool that is closed at the end of the test.
 func newTestPool(t *testing.T, address string) *Pool {
 	t.Helper()
 	p := NewPool(address, nil)
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestExchangeReusesItsConnection(t *testing.T) {
+func TestExchangesReuseConnection(t *testing.T) {
 	connections := map[string]bool{}
 	p := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		connections[r.RemoteAddr] = true
@@ -71,19 +71,19 @@
 		fmt.Fprintf(w, "%s %s %s %s", r.Method, r.RequestURI, r.Header.Get("X-One"), body)
 	})
 	for range 5 {
-		resp, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/a%2Fb?q=1", Host: "h", Header: http.Header{"X-One": {"1"}}, Buffered: []byte("body"), Deadline: far()})
+		resp, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/a%2Fb?q=1", Host: "h", Header: http.Header{"X-One": {"1"}}, Buffered: []byte("body"), Deadline: farDeadline()})
 		assert.NilError(t, err)
 		assert.Equal(t, read(t, resp), "POST /a%2Fb?q=1 1 body")
 	}
 	assert.Equal(t, len(connections), 1)
 }
 
-// A streamed body must not be sent before the peer asks for it: an attempt that
-// is refused or moved leaves it whole for the next.
+// A streamed body must not be sent before the peer requests it: after an attempt that is
+// refused or moved, the next attempt needs the whole body.
 func TestRefusedStreamIsNotRead(t *testing.T) {
 	p := serve(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
 	body := &countingReader{r: strings.NewReader(strings.Repeat("x", 100_000))}
-	resp, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: NewBody(body, nil), Length: 100_000, Deadline: far()})
+	resp, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: NewBody(body, nil), Length: 100_000, Deadline: farDeadline()})
 	assert.NilError(t, err)
 	assert.Equal(t, resp.StatusCode, http.StatusServiceUnavailable)
 	_ = read(t, resp)
@@ -101,35 +101,35 @@
 	return n, err
 }
 
-func TestStreamsArriveWhole(t *testing.T) {
+func TestStreamedBodiesArriveComplete(t *testing.T) {
 	for _, length := range []int64{200_000, -1} {
 		p := serve(t, func(w http.ResponseWriter, r *http.Request) {
 			n, err := io.Copy(io.Discard, r.Body)
 			fmt.Fprintf(w, "%d %v", n, err)
 		})
-		resp, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: NewBody(strings.NewReader(strings.Repeat("x", 200_000)), nil), Length: length, Deadline: far()})
+		resp, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: NewBody(strings.NewReader(strings.Repeat("x", 200_000)), nil), Length: length, Deadline: farDeadline()})
 		assert.NilError(t, err)
 		assert.Equal(t, read(t, resp), "200000 <nil>")
 	}
 }
 
-// The source of an upload ends early. The receiver must see a broken body: a
-// photograph that was cut would otherwise be stored as if it were whole.
-func TestShortSourceIsABrokenBody(t *testing.T) {
+// The source of an upload ends early. The receiver must see a broken body: otherwise, for
+// example, a truncated photograph would be stored as complete.
+func TestShortSourceBreaksConnection(t *testing.T) {
 	seen := make(chan error, 1)
 	p := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		_, err := io.Copy(io.Discard, r.Body)
 		seen <- err
 	})
-	_, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: NewBody(strings.NewReader("short"), nil), Length: 100_000, Deadline: far()})
+	_, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: NewBody(strings.NewReader("short"), nil), Length: 100_000, Deadline: farDeadline()})
 	var lost *LostError
 	assert.Assert(t, errors.As(err, &lost))
 	assert.Assert(t, <-seen != nil)
 }
 
-// A backend server sends two answers to one request. The second must not be
-// taken for the answer to whatever request comes next on the connection.
-func TestSecondAnswerReachesNobody(t *testing.T) {
+// A backend server sends two responses to one request. The second must not be returned for
+// the next request on the connection.
+func TestSecondResponseIsNotDelivered(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
@@ -150,7 +150,7 @@
 	}()
 	p := newTestPool(t, l.Addr().String())
 	for range 2 {
-		resp, err := p.Do(context.Background(), &Outgoing{Method: "GET", URI: "/", Host: "h", Deadline: far()})
+		resp, err := p.Do(context.Background(), &Outgoing{Method: "GET", URI: "/", Host: "h", Deadline: farDeadline()})
 		assert.NilError(t, err)
 		assert.Equal(t, read(t, resp), "first")
 	}
@@ -158,15 +158,15 @@
 	p.Close()
 }
 
-// The peer closed an idle connection. The next request must go out on another
-// one, and not be lost with it.
+// The peer closed an idle connection. The next request must be sent on another connection
+// instead of being lost.
 func TestClosedIdleConnectionLosesNoRequest(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) }))
 	defer s.Close()
 	p := newTestPool(t, s.Listener.Addr().String())
 	defer p.Close()
 	for range 3 {
-		resp, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/", Host: "h", Deadline: far()})
+		resp, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/", Host: "h", Deadline: farDeadline()})
 		assert.NilError(t, err)
 		assert.Equal(t, read(t, resp), "ok")
 		s.CloseClientConnections()
@@ -178,18 +178,18 @@
 	t.Helper()
 	for range 1000 {
 		p.mu.Lock()
-		open := len(p.idle) > 0 && p.idle[0].quiet()
+		open := len(p.idle) > 0 && p.idle[0].isHealthy()
 		p.mu.Unlock()
 		if !open {
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("the connection stays open")
+	t.Fatal("the idle connection was not closed")
 }
 
-// Nothing listens: nothing was sent, and the error says so. A connection that
-// breaks after the request is another matter: it may have run.
+// If no one listens, nothing was sent, and the error must say so. If the connection breaks
+// after the request was sent, the request may have run.
 func TestErrorsTellWhetherAnythingWasSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -204,18 +204,18 @@
 		}
 	}()
 	p := newTestPool(t, address)
-	_, err = p.Do(context.Background(), &Outgoing{Method: "GET", URI: "/", Host: "h", Deadline: far()})
+	_, err = p.Do(context.Background(), &Outgoing{Method: "GET", URI: "/", Host: "h", Deadline: farDeadline()})
 	var lost *LostError
 	assert.Assert(t, errors.As(err, &lost), "%v", err)
 	<-done
 	_ = l.Close()
-	_, err = p.Do(context.Background(), &Outgoing{Method: "GET", URI: "/", Host: "h", Deadline: far()})
+	_, err = p.Do(context.Background(), &Outgoing{Method: "GET", URI: "/", Host: "h", Deadline: farDeadline()})
 	var dial *DialError
 	assert.Assert(t, errors.As(err, &dial), "%v", err)
 }
 
-// The caller goes away: the exchange ends and the peer sees it.
-func TestCancelReachesThePeer(t *testing.T) {
+// When the caller cancels, the exchange must end and the peer must notice.
+func TestCancellationClosesConnection(t *testing.T) {
 	canceled := make(chan struct{})
 	arrived := make(chan struct{})
 	p := serve(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -225,7 +225,7 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { <-arrived; cancel() }()
-	_, err := p.Do(ctx, &Outgoing{Method: "GET", URI: "/", Host: "h", Deadline: far()})
+	_, err := p.Do(ctx, &Outgoing{Method: "GET", URI: "/", Host: "h", Deadline: farDeadline()})
 	assert.ErrorIs(t, err, context.Canceled)
 	<-canceled
 }
@@ -237,14 +237,14 @@
 	assert.DeepEqual(t, h, http.Header{"X-Keep": {"1"}})
 }
 
-func TestTrailersPass(t *testing.T) {
+func TestTrailersAreForwarded(t *testing.T) {
 	p := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Trailer", "X-Sum")
 		_, _ = w.Write([]byte("body"))
 		w.Header().Set("X-Sum", "42")
 	})
 	front := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		resp, err := p.Do(r.Context(), &Outgoing{Method: "GET", URI: "/", Host: "h", Deadline: far()})
+		resp, err := p.Do(r.Context(), &Outgoing{Method: "GET", URI: "/", Host: "h", Deadline: farDeadline()})
 		if err == nil {
 			err = Relay(w, resp)
 		}
--- a/internal/hop/foreign_test.go
+++ b/internal/hop/mismatch_test.go
@@ -14,16 +14,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// scripted is a server that answers each request with the next of the given
-// texts, on any number of connections.
-func scripted(t *testing.T, answers ...string) (address string, connections *int) {
+// scriptedServer sends the given responses in order, one per request, on any number of
+// connections.
+func scriptedServer(t *testing.T, responses ...string) (address string, connections *int) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
 	count := 0
-	texts := make(chan string, len(answers))
-	for _, a := range answers {
+	texts := make(chan string, len(responses))
+	for _, a := range responses {
 		texts <- a
 	}
 	go func() {
@@ -50,11 +50,11 @@
 	return l.Addr().String(), &count
 }
 
-func answer(id, body string) string {
+func okResponse(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func ask(t *testing.T, p *Pool, id string) (string, error) {
+func get(t *testing.T, p *Pool, id string) (string, error) {
 	t.Helper()
 	resp, err := p.Do(context.Background(), &Outgoing{Method: "GET", URI: "/", Host: "a", Header: http.Header{}, Deadline: time.Now().Add(2 * time.Second), IDField: "X-Id", ID: id})
 	if err != nil {
@@ -65,42 +65,41 @@
 	return string(body), err
 }
 
-// A second answer to an earlier request comes where the next one is expected.
-// The caller must get its own answer, and the connection must not be used again.
-func TestAnswerOfAnotherRequestIsDropped(t *testing.T) {
-	address, connections := scripted(t, answer("old", "not yours")+answer("mine", "yours"), answer("next", "fresh"))
+// A second response to an earlier request arrives in place of the next one. The caller must
+// get its own response, and the connection must not be reused.
+func TestResponseToAnotherRequestIsDiscarded(t *testing.T) {
+	address, connections := scriptedServer(t, okResponse("old", "not yours")+okResponse("mine", "yours"), okResponse("next", "fresh"))
 	p := newTestPool(t, address)
-	body, err := ask(t, p, "mine")
+	body, err := get(t, p, "mine")
 	assert.NilError(t, err)
 	assert.Equal(t, body, "yours")
-	body, err = ask(t, p, "next")
+	body, err = get(t, p, "next")
 	assert.NilError(t, err)
 	assert.Equal(t, body, "fresh")
 	assert.Equal(t, *connections, 2)
 }
 
-func TestOnlyForeignAnswersEndAsALoss(t *testing.T) {
-	address, _ := scripted(t, strings.Repeat(answer("old", "x"), maxForeign+2))
-	_, err := ask(t, newTestPool(t, address), "mine")
+func TestTooManyMismatchedResponsesFail(t *testing.T) {
+	address, _ := scriptedServer(t, strings.Repeat(okResponse("old", "x"), maxMismatched+2))
+	_, err := get(t, newTestPool(t, address), "mine")
 	assert.ErrorContains(t, err, "other requests")
 }
 
-// Bytes behind a complete answer belong to no request: the connection that holds
-// them is not used for the next one.
-func TestConnectionWithSpareBytesIsNotReused(t *testing.T) {
-	address, connections := scripted(t, answer("a", "one")+"spare bytes", answer("b", "two"))
+// Bytes after a complete response belong to no request: the connection must not be reused.
+func TestConnectionWithExtraBytesIsNotReused(t *testing.T) {
+	address, connections := scriptedServer(t, okResponse("a", "one")+"spare bytes", okResponse("b", "two"))
 	p := newTestPool(t, address)
-	_, err := ask(t, p, "a")
+	_, err := get(t, p, "a")
 	assert.NilError(t, err)
-	body, err := ask(t, p, "b")
+	body, err := get(t, p, "b")
 	assert.NilError(t, err)
 	assert.Equal(t, body, "two")
 	assert.Equal(t, *connections, 2)
 }
 
-// An answer without a length ends with its connection. Reset on the way, it must
-// not pass for whole.
-func TestAnswerWithoutLengthIsWholeOnlyOnACleanEnd(t *testing.T) {
+// A response without a length ends when its connection is closed. If the connection is reset
+// instead, the response must not be taken for complete.
+func TestResponseWithoutLengthNeedsCleanClose(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
@@ -117,7 +116,7 @@
 			}
 			_ = c.Close()
 		}()
-		body, err := ask(t, newTestPool(t, l.Addr().String()), "a")
+		body, err := get(t, newTestPool(t, l.Addr().String()), "a")
 		assert.Equal(t, err != nil, reset, "reset %v: %q %v", reset, body, err)
 		_ = l.Close()
 	}
--- a/internal/hop/relay.go
+++ b/internal/hop/relay.go
@@ -9,13 +9,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// connectionFields are meant for one connection only and never forwarded.
-var connectionFields = []string{
+// hopByHopFields apply to a single connection and are never forwarded.
+var hopByHopFields = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// CleanHeader removes the fields that are meant for one connection only, those
-// that Connection names among them.
+// CleanHeader removes the hop-by-hop fields, including those that Connection names.
 func CleanHeader(h http.Header) {
 	for _, value := range h["Connection"] {
 		for _, name := range strings.Split(value, ",") {
@@ -24,13 +23,13 @@
 			}
 		}
 	}
-	for _, name := range connectionFields {
+	for _, name := range hopByHopFields {
 		delete(h, name)
 	}
 }
 
-// CleanRequest also removes what only our own processes may set, and what the
-// sender of the next hop sets itself.
+// CleanRequest also removes the fields that only this project's processes may set, and
+// those that the sender to the next hop sets itself.
 func CleanRequest(h http.Header) {
 	CleanHeader(h)
 	delete(h, Header)
@@ -42,19 +41,19 @@
 
 var copyBuffers = sync.Pool{New: func() any { b := make([]byte, copyBufferSize); return &b }}
 
-// CutShortError means that an answer ended before its end. The receiver must
-// see a broken connection and never a body that looks whole.
+// CutShortError means that a response ended prematurely. The receiver must see a broken
+// connection and never a body that looks complete.
 type CutShortError struct{ Err error }
 
-// Error tells the cause.
+// Error returns the cause.
 func (e *CutShortError) Error() string { return "the answer was cut short: " + e.Err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *CutShortError) Unwrap() error { return e.Err }
 
-// Relay writes an answer's head, body and trailers to w and closes it. The
-// error is a *CutShortError when the answer ended early; the caller must then
-// abort its own answer.
+// Relay writes a response's head, body and trailers to w and closes the body. The error is
+// a *CutShortError if the response ended prematurely; the caller must then abort its own
+// response.
 func Relay(w http.ResponseWriter, resp *http.Response, extra ...Field) error {
 	defer resp.Body.Close()
 	CleanHeader(resp.Header)
@@ -70,7 +69,7 @@
 		h.Add("Trailer", name)
 	}
 	w.WriteHeader(resp.StatusCode)
-	if err := copyAnswer(w, resp); err != nil {
+	if err := copyBody(w, resp); err != nil {
 		return err
 	}
 	for name, values := range resp.Trailer {
@@ -79,15 +78,15 @@
 	return nil
 }
 
-// copyAnswer copies the body. One of unknown length is flushed as it comes,
-// since it may be a stream that its reader waits on.
-func copyAnswer(w http.ResponseWriter, resp *http.Response) error {
+// copyBody copies the body. One of unknown length is flushed after every read, because it
+// may be a stream whose reader waits for each part.
+func copyBody(w http.ResponseWriter, resp *http.Response) error {
 	buffer := copyBuffers.Get().(*[]byte)
-	failed := false
+	writeFailed := false
 	defer func() {
-		// An HTTP/2 server whose caller resets the stream returns from the write while it
-		// still sends these bytes: the next answer's must not take their place.
-		if !failed {
+		// When the client resets an HTTP/2 stream, Write returns while the server still sends
+		// this buffer. Reusing it would overwrite these bytes with another response's.
+		if !writeFailed {
 			copyBuffers.Put(buffer)
 		}
 	}()
@@ -101,7 +100,7 @@
 		n, err := resp.Body.Read(*buffer)
 		if n > 0 {
 			if _, writeErr := w.Write((*buffer)[:n]); writeErr != nil {
-				failed = true
+				writeFailed = true
 				return writeErr
 			}
 			if flush != nil {
--- a/internal/hop/upload.go
+++ b/internal/hop/upload.go
@@ -15,101 +15,100 @@
 	"cactuspath/internal/logs"
 )
 
-// A streamed body is sent by a goroutine beside the one that reads the answer, since
-// the answer may come first. That goroutine touches three things that outlast its
-// exchange: the caller's connection that it reads, the words that ask the caller for
-// the body, and the connection that it writes. Begun or left over after the end of
-// its exchange it took bytes out of the body that the next attempt sent, and the next
-// server got a body with a hole. So an exchange does not end before its sender is
-// gone: every way out of an exchange leads through sender.end.
-
-// Body is a request's body that is read once, as it is sent. It is lent to one
-// exchange after the other; only the sender of the exchange that has it can read it.
-// Safe for concurrent use.
+// A streamed body is sent by a goroutine of its own, concurrently with reading the
+// response, since the response may arrive first. This goroutine uses three things that
+// outlive the exchange: the caller's connection that it reads, the 100 Continue that
+// requests the body from the caller, and the connection that it writes. If it started or
+// kept running after the end of its exchange, it took bytes out of the body that the next
+// attempt sent, and the next server got a body with a gap. An exchange therefore ends only
+// after its sender has: every way to end an exchange calls sender.stopAndWait.
+
+// Body is a request body that can be read only once, as it is sent. One exchange at a time
+// owns it; only the sender of that exchange can read it. Safe for concurrent use.
 type Body struct {
 	source io.Reader
-	// setReadDeadline wakes a read of the source that waits; nil for a source that
-	// never waits.
+	// setReadDeadline interrupts a blocked read of the source; nil for a source that never
+	// blocks.
 	setReadDeadline func(time.Time) error
 
 	mu sync.Mutex
-	// holder is the sender that may read, nil for none.
-	holder *sender
-	// reading: a read of the source is under way.
+	// owner is the sender that may read; nil for none.
+	owner *sender
+	// reading is set while a read of the source is in progress.
 	reading bool
-	// touched: a read was begun, so that what is left may not be the whole body.
-	touched bool
-	ended   bool
-	// digest sums up what was read; nil where nobody asks for it.
+	// readStarted is set once a read was started, so the rest may not be the whole body.
+	readStarted bool
+	ended       bool
+	// digest hashes what was read; nil if no hash is needed.
 	digest *quarantine.BodyDigest
 }
 
-// NewBody returns a body that is read from source. SetReadDeadline makes a read of
-// it that waits return once the time has passed, as that of http.ResponseController
-// does; nil stands for a source that never waits.
+// NewBody returns a body that is read from source. setReadDeadline makes a blocked read of
+// source return at the given time, like that of http.ResponseController; nil is for a
+// source that never blocks.
 func NewBody(source io.Reader, setReadDeadline func(time.Time) error) *Body {
 	return &Body{source: source, setReadDeadline: setReadDeadline}
 }
 
-// Whole tells whether no byte of the body was read, so that another attempt may send
-// it.
+// Whole reports whether no byte of the body was read, so that another attempt may send it.
 func (b *Body) Whole() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !b.touched
+	return !b.readStarted
 }
 
-// Ended tells whether the body was read to its end.
+// Ended reports whether the body was read to its end.
 func (b *Body) Ended() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.ended
 }
 
-// Lent tells whether an exchange under way has asked for the body.
+// Lent reports whether an exchange in progress has requested the body.
 func (b *Body) Lent() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.holder != nil
+	return b.owner != nil
 }
 
-// ReadAhead reads up to n bytes of the body into memory, until a time at the latest; they
-// are sent first. A body that ends or breaks off before does so again when it is sent.
+// ReadAhead reads up to n bytes of the body into memory, until the given time at the latest;
+// they are sent first. If the body ends or fails within them, it does so again when it is
+// sent.
 func (b *Body) ReadAhead(n int, until time.Time) {
 	reader := &sender{}
-	b.lend(reader)
-	defer b.lend(nil)
-	if err := b.readUntil(until); err != nil {
+	b.setOwner(reader)
+	defer b.setOwner(nil)
+	if err := b.setSourceDeadline(until); err != nil {
 		return
 	}
-	ahead := make([]byte, n)
-	read, err := io.ReadFull(held{b, reader}, ahead)
-	next := []io.Reader{bytes.NewReader(ahead[:read])}
+	prefix := make([]byte, n)
+	read, err := io.ReadFull(ownerReader{b, reader}, prefix)
+	parts := []io.Reader{bytes.NewReader(prefix[:read])}
 	switch {
 	case err == nil:
-		next = append(next, b.source)
+		parts = append(parts, b.source)
 	case !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF):
-		next = append(next, failingReader{err})
+		parts = append(parts, errReader{err})
 	}
-	b.replay(io.MultiReader(next...))
+	b.replaceSource(io.MultiReader(parts...))
 	if err != nil {
 		return
 	}
-	if err := b.readUntil(time.Time{}); err != nil {
-		klog.V(2).InfoS("Deadline of a body stays; its source is closed already", "err", err)
+	if err := b.setSourceDeadline(time.Time{}); err != nil {
+		klog.V(2).InfoS("Read deadline of a body not removed: its source is already closed", "err", err)
 	}
 }
 
-// readUntil bounds reads of a source that may wait; the zero time lifts the bound.
-func (b *Body) readUntil(t time.Time) error {
+// setSourceDeadline limits reads of a source that may block; the zero time removes the limit.
+func (b *Body) setSourceDeadline(t time.Time) error {
 	if b.setReadDeadline == nil {
 		return nil
 	}
 	return b.setReadDeadline(t)
 }
 
-// replay puts what was read ahead before the rest, and has it summed up once.
-func (b *Body) replay(source io.Reader) {
+// replaceSource puts the bytes that were read ahead before the rest. They are hashed only once.
+func (b *Body) replaceSource(source io.Reader) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.source = source
@@ -117,25 +116,25 @@
 		return
 	}
 	if _, known := b.digest.Sum(b.ended); !known {
-		// It passes once more.
+		// The bytes are read again.
 		b.digest = quarantine.NewBodyDigest()
 	}
 }
 
-// failingReader is a body that broke off.
-type failingReader struct{ err error }
+// errReader returns the error of a body that failed.
+type errReader struct{ err error }
 
-// Read fails as the body did.
-func (r failingReader) Read([]byte) (int, error) { return 0, r.err }
+// Read returns the error.
+func (r errReader) Read([]byte) (int, error) { return 0, r.err }
 
-// SumUp has the body summed up as it is read.
+// SumUp enables hashing the body as it is read.
 func (b *Body) SumUp() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.digest = quarantine.NewBodyDigest()
 }
 
-// Sum is the sum of the body, if SumUp was called and enough of it was read.
+// Sum returns the hash of the body, if SumUp was called and enough of it was read.
 func (b *Body) Sum() (sum quarantine.BodySum, known bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -145,48 +144,48 @@
 	return b.digest.Sum(b.ended)
 }
 
-// Stop tells the source that no attempt wants the rest of the body, so that its caller
-// is not asked for it any more.
+// Stop tells the source that no attempt needs the rest of the body, so that it is no longer
+// requested from the caller.
 func (b *Body) Stop() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.ended {
 		return
 	}
-	if err := b.readUntil(longPast); err != nil {
-		klog.V(2).InfoS("Body not stopped; its source is closed already", "err", err)
+	if err := b.setSourceDeadline(aLongTimeAgo); err != nil {
+		klog.V(2).InfoS("Body not stopped: its source is already closed", "err", err)
 	}
 }
 
-// Fetch reads a whole body of the given length, until a time at the latest.
+// Fetch reads a whole body of the given length, until the given time at the latest.
 func (b *Body) Fetch(length int64, until time.Time) ([]byte, error) {
 	reader := &sender{}
-	b.lend(reader)
-	defer b.lend(nil)
-	if err := b.readUntil(until); err != nil {
+	b.setOwner(reader)
+	defer b.setOwner(nil)
+	if err := b.setSourceDeadline(until); err != nil {
 		return nil, err
 	}
 	body := make([]byte, length)
-	if _, err := io.ReadFull(held{b, reader}, body); err != nil {
+	if _, err := io.ReadFull(ownerReader{b, reader}, body); err != nil {
 		return nil, err
 	}
-	return body, b.readUntil(time.Time{})
+	return body, b.setSourceDeadline(time.Time{})
 }
 
-// errTakenBack ends a sender whose exchange is over.
-var errTakenBack = errors.New("the exchange ended before its body was sent")
+// errExchangeEnded ends a sender whose exchange is over.
+var errExchangeEnded = errors.New("the exchange ended before its body was sent")
 
-// held reads a body for its holder.
-type held struct {
-	body   *Body
-	holder *sender
+// ownerReader reads a body on behalf of its owner.
+type ownerReader struct {
+	body  *Body
+	owner *sender
 }
 
-// Read reads the body, as long as the holder has it.
-func (h held) Read(p []byte) (int, error) {
-	b := h.body
-	if !b.begin(h.holder) {
-		return 0, errTakenBack
+// Read reads the body, unless it no longer belongs to the owner.
+func (r ownerReader) Read(p []byte) (int, error) {
+	b := r.body
+	if !b.beginRead(r.owner) {
+		return 0, errExchangeEnded
 	}
 	n, err := b.source.Read(p)
 	b.mu.Lock()
@@ -196,61 +195,61 @@
 	if b.digest != nil {
 		b.digest.Write(p[:n])
 	}
-	if b.holder != h.holder {
-		h.holder.dropped += int64(n)
-		return 0, errTakenBack
+	if b.owner != r.owner {
+		r.owner.dropped += int64(n)
+		return 0, errExchangeEnded
 	}
 	return n, err
 }
 
-func (b *Body) begin(holder *sender) bool {
+func (b *Body) beginRead(owner *sender) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.holder != holder {
+	if b.owner != owner {
 		return false
 	}
-	b.reading, b.touched = true, true
+	b.reading, b.readStarted = true, true
 	return true
 }
 
-func (b *Body) lend(holder *sender) {
+func (b *Body) setOwner(owner *sender) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.holder = holder
+	b.owner = owner
 }
 
-// takeBack ends the holder's reads: the one under way is woken, and those that would
-// begin later fail.
-func (b *Body) takeBack(holder *sender) error {
+// removeOwner ends the owner's reads: one in progress is interrupted, and later ones fail.
+func (b *Body) removeOwner(owner *sender) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.holder == holder {
-		b.holder = nil
+	if b.owner == owner {
+		b.owner = nil
 	}
 	if !b.reading {
 		return nil
 	}
-	return b.readUntil(longPast)
+	return b.setSourceDeadline(aLongTimeAgo)
 }
 
 // sender sends one body on one exchange.
 type sender struct {
 	out  *Outgoing
 	conn *conn
-	// done is closed when the sender's goroutine has ended; what follows is read only
-	// then.
+	// done is closed when the sender's goroutine has ended. The fields below are read only
+	// after that.
 	done chan struct{}
 	err  error
-	// read and sent count the body's bytes that were read and handed to the
-	// connection, dropped those that a read under way took after the exchange's end.
+	// read and sent count the bytes of the body that were read, and written to the
+	// connection; dropped counts those that a pending read returned after the end of the
+	// exchange.
 	read, sent, dropped int64
-	// sourceFailed: the body broke off. Only the sender uses it.
+	// sourceFailed is set if reading the body failed. Only the sender uses it.
 	sourceFailed bool
 }
 
 func startSender(c *conn, out *Outgoing) *sender {
 	s := &sender{out: out, conn: c, done: make(chan struct{})}
-	out.Stream.lend(s)
+	out.Stream.setOwner(s)
 	go s.run()
 	return s
 }
@@ -261,14 +260,14 @@
 	copied, s.err = s.copy()
 	s.sent = max(0, copied-int64(s.conn.writer.Buffered()))
 	if s.sourceFailed || errors.Is(s.err, io.ErrUnexpectedEOF) {
-		// The peer must see a broken body, never a shortened one. Where it was the peer
-		// that ended the connection, its answer may be there: that one is read.
+		// The peer must see a broken body, never a truncated one. If the peer closed the
+		// connection, its response may already be there and is read.
 		s.conn.fail()
 	}
 }
 
-// gone tells whether the sender's goroutine has ended.
-func (s *sender) gone() bool {
+// exited reports whether the sender's goroutine has ended.
+func (s *sender) exited() bool {
 	select {
 	case <-s.done:
 		return true
@@ -277,33 +276,33 @@
 	}
 }
 
-// finished tells whether the body was sent to its end.
-func (s *sender) finished() bool { return s.gone() && s.err == nil }
+// completed reports whether the whole body was sent.
+func (s *sender) completed() bool { return s.exited() && s.err == nil }
 
-// end takes the body back and returns when the sender's goroutine is gone. The
-// connection that it writes to must be closed, or the body sent.
-func (s *sender) end() {
-	over := !s.gone()
-	if err := s.out.Stream.takeBack(s); errors.Is(err, errors.ErrUnsupported) {
-		// Nothing can wake the read under way; what it takes is dropped when it returns.
-		// Any other error is that of a source that is closed: its reads return.
+// stopAndWait revokes the sender's access to the body and waits for its goroutine to end. The
+// connection that it writes to must be closed, or the body sent completely.
+func (s *sender) stopAndWait() {
+	stillRunning := !s.exited()
+	if err := s.out.Stream.removeOwner(s); errors.Is(err, errors.ErrUnsupported) {
+		// The pending read cannot be interrupted; what it returns is dropped. Any other error
+		// means that the source is closed, and then its reads return.
 		logs.Decision(true, "Body sender not woken", "request", s.out.ID, "attempt", FormatID(s.out.Attempt), "err", err)
 		return
 	}
 	<-s.done
 	logs.Decision(s.err != nil, "Body sender ended", "request", s.out.ID, "attempt", FormatID(s.out.Attempt), "to", s.conn.RemoteAddr().String(), "length", s.out.Length,
-		"read", s.read, "sent", s.sent, "dropped", s.dropped, "exchangeOver", over, "err", s.err)
+		"read", s.read, "sent", s.sent, "dropped", s.dropped, "exchangeOver", stillRunning, "err", s.err)
 }
 
-// Read reads the body for the sender, and counts.
+// Read reads the body for the sender and counts the bytes.
 func (s *sender) Read(p []byte) (int, error) {
-	n, err := held{s.out.Stream, s}.Read(p)
+	n, err := ownerReader{s.out.Stream, s}.Read(p)
 	s.read += int64(n)
 	s.sourceFailed = err != nil && !errors.Is(err, io.EOF)
 	return n, err
 }
 
-// copy sends the body; it returns how many of its bytes were written.
+// copy sends the body and returns how many of its bytes were written.
 func (s *sender) copy() (int64, error) {
 	w := s.conn.writer
 	if s.out.Length < 0 {
@@ -334,10 +333,10 @@
 	return n, w.Flush()
 }
 
-// flusher sends each chunk as it comes, so that a slow upload is not held back.
+// flusher flushes the buffer once it is half full, so that a slow upload is sent in parts.
 type flusher struct{ w *bufio.Writer }
 
-// Write sends a part of a chunk.
+// Write writes a part of a chunk.
 func (f flusher) Write(p []byte) (int, error) {
 	n, err := f.w.Write(p)
 	if err == nil && f.w.Available() < bufferSize/2 {
--- a/internal/hop/upload_test.go
+++ b/internal/hop/upload_test.go
@@ -20,42 +20,42 @@
 	"cactuspath/core/quarantine"
 )
 
-// stalled is a caller that sends nothing until it is released or stopped, as a
-// connection does whose read deadline is set.
-type stalled struct {
-	release, stopped chan struct{}
-	begun            chan struct{}
-	stop, begin      sync.Once
-	rest             io.Reader
-	reading          atomic.Int32
+// blockingSource is a body that returns nothing until it is released or stopped, like a
+// connection whose read deadline is set.
+type blockingSource struct {
+	release, stopped    chan struct{}
+	started             chan struct{}
+	stopOnce, startOnce sync.Once
+	data                io.Reader
+	reading             atomic.Int32
 }
 
-func newStalled(rest string) *stalled {
-	return &stalled{release: make(chan struct{}), stopped: make(chan struct{}), begun: make(chan struct{}), rest: strings.NewReader(rest)}
+func newBlockingSource(data string) *blockingSource {
+	return &blockingSource{release: make(chan struct{}), stopped: make(chan struct{}), started: make(chan struct{}), data: strings.NewReader(data)}
 }
 
-func (s *stalled) Read(p []byte) (int, error) {
+func (s *blockingSource) Read(p []byte) (int, error) {
 	s.reading.Add(1)
 	defer s.reading.Add(-1)
-	s.begin.Do(func() { close(s.begun) })
+	s.startOnce.Do(func() { close(s.started) })
 	select {
 	case <-s.release:
-		return s.rest.Read(p)
+		return s.data.Read(p)
 	case <-s.stopped:
-		// A read that has taken bytes returns them, whoever stops it.
-		return s.rest.Read(p)
+		// A read that has received bytes returns them even if it is interrupted.
+		return s.data.Read(p)
 	}
 }
 
-func (s *stalled) setReadDeadline(t time.Time) error {
+func (s *blockingSource) setReadDeadline(t time.Time) error {
 	if !t.IsZero() && t.Before(time.Now()) {
-		s.stop.Do(func() { close(s.stopped) })
+		s.stopOnce.Do(func() { close(s.stopped) })
 	}
 	return nil
 }
 
-// peer accepts connections and hands each to the function.
-func peer(t *testing.T, serve func(net.Conn)) *Pool {
+// startServer accepts connections and passes each to serve.
+func startServer(t *testing.T, serve func(net.Conn)) *Pool {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -75,7 +75,7 @@
 	return newTestPool(t, l.Addr().String())
 }
 
-// readHead reads a request's head; a streamed body waits to be asked for.
+// readRequestHead reads a request's head; a streamed body is sent only once it is requested.
 func readRequestHead(c net.Conn) {
 	buffer := make([]byte, 4096)
 	for text := ""; !strings.Contains(text, "\r\n\r\n"); {
@@ -89,13 +89,12 @@
 
 const refusal = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// A server asks for an upload and rejects it, both at once. The answer is read
-// before the goroutine that sends the body has begun. Once the exchange has ended
-// that goroutine must read nothing: what it took would be missing in the body that
-// the next attempt sends.
+// A server requests an upload and rejects it at the same time. The response is read before the
+// goroutine that sends the body has started. After the end of the exchange that goroutine must
+// read nothing: the bytes would be missing in the body that the next attempt sends.
 func TestSenderThatBeginsLateReadsNothing(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	p := peer(t, func(c net.Conn) {
+	p := startServer(t, func(c net.Conn) {
 		readRequestHead(c)
 		_, _ = io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n"+refusal)
 		_, _ = io.Copy(io.Discard, c)
@@ -104,7 +103,7 @@
 	for range 50 {
 		source := &countingReader{r: strings.NewReader(strings.Repeat("x", 200_000))}
 		body := NewBody(source, nil)
-		resp, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: body, Length: 200_000, Deadline: far()})
+		resp, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: body, Length: 200_000, Deadline: farDeadline()})
 		assert.NilError(t, err)
 		assert.Equal(t, read(t, resp), "")
 		if !body.Whole() {
@@ -115,69 +114,68 @@
 		time.Sleep(time.Millisecond)
 		assert.Equal(t, source.n, 0, "a sender read after its exchange had ended")
 	}
-	assert.Assert(t, late > 10, "only %d senders began late", late)
+	assert.Assert(t, late > 10, "only %d senders started late", late)
 }
 
-// A server answers early while the caller sends nothing. The sender waits in a read
-// of the caller's connection. The exchange must not end before it is gone, woken
-// from that read; what the read took meanwhile is passed on to nobody.
+// A server responds early while the caller sends nothing, and the sender is blocked in a read of
+// the caller's connection. The exchange must interrupt that read and wait for the sender to end;
+// bytes that the read returned meanwhile must not be forwarded.
 func TestExchangeEndsAfterItsSender(t *testing.T) {
-	source := newStalled(strings.Repeat("x", 1000))
+	source := newBlockingSource(strings.Repeat("x", 1000))
 	var got atomic.Int64
-	p := peer(t, func(c net.Conn) {
+	p := startServer(t, func(c net.Conn) {
 		readRequestHead(c)
 		_, _ = io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n")
-		<-source.begun
+		<-source.started
 		_, _ = io.WriteString(c, refusal)
 		n, _ := io.Copy(io.Discard, c)
 		got.Add(n)
 	})
 	body := NewBody(source, source.setReadDeadline)
-	resp, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: body, Length: 200_000, Deadline: far()})
+	resp, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: body, Length: 200_000, Deadline: farDeadline()})
 	assert.NilError(t, err)
 	assert.Equal(t, read(t, resp), "")
-	assert.Equal(t, source.reading.Load(), int32(0), "the sender outlived its exchange")
+	assert.Equal(t, source.reading.Load(), int32(0), "the sender is still running after its exchange")
 	assert.Assert(t, !body.Whole())
 	assert.Equal(t, got.Load(), int64(0))
 }
 
-// A caller that sends nothing more goes away. The attempt ends at once, and its
-// sender with it.
+// A caller that stopped sending disconnects. The attempt must end at once, and its sender too.
 func TestCanceledExchangeEndsAfterItsSender(t *testing.T) {
-	source := newStalled("")
-	p := peer(t, func(c net.Conn) {
+	source := newBlockingSource("")
+	p := startServer(t, func(c net.Conn) {
 		readRequestHead(c)
 		_, _ = io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n")
 		_, _ = io.Copy(io.Discard, c)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		<-source.begun
+		<-source.started
 		cancel()
 	}()
-	_, err := p.Do(ctx, &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: NewBody(source, source.setReadDeadline), Length: -1, Deadline: far()})
+	_, err := p.Do(ctx, &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: NewBody(source, source.setReadDeadline), Length: -1, Deadline: farDeadline()})
 	assert.Assert(t, errors.Is(err, context.Canceled), "%v", err)
-	assert.Equal(t, source.reading.Load(), int32(0), "the sender outlived its exchange")
+	assert.Equal(t, source.reading.Load(), int32(0), "the sender is still running after its exchange")
 }
 
-// The caller's upload breaks off while the server's answer begins: the server's words
-// are there in one read, and the sender fails before the head has been taken in. The
-// server must see a broken body all the same, and the answer that waits for the rest
-// must end; with the deadline lifted again both would wait for each other.
-func TestBodyThatBreaksOffBehindTheAnswersHeadIsBroken(t *testing.T) {
+// The caller's upload fails while the server's response begins: the response arrives in one read,
+// and the sender fails before its head was parsed. The server must still see a broken body, and
+// the response, which waits for the rest of it, must end. If the deadline were removed again,
+// both would wait for each other.
+func TestBodyFailureAfterResponseHead(t *testing.T) {
 	broken := make(chan struct{})
-	p := peer(t, func(c net.Conn) {
+	p := startServer(t, func(c net.Conn) {
 		readRequestHead(c)
 		_, _ = io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
 		_, _ = io.Copy(io.Discard, c)
 		close(broken)
 	})
-	source := newStalled("")
+	source := newBlockingSource("")
 	close(source.release)
-	out := &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: NewBody(source, source.setReadDeadline), Length: 200_000, Deadline: far()}
+	out := &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: NewBody(source, source.setReadDeadline), Length: 200_000, Deadline: farDeadline()}
 	out.OnInterim = func(http.Header) {
-		// The head of the answer is read once the sender has failed.
-		<-source.begun
+		// Delay parsing the response head until the sender has failed.
+		<-source.started
 		time.Sleep(20 * time.Millisecond)
 	}
 	resp, err := p.Do(context.Background(), out)
@@ -190,78 +188,77 @@
 		select {
 		case err = <-read:
 		case <-time.After(5 * time.Second):
-			t.Fatal("the answer is still waited for")
+			t.Fatal("the read of the response did not end")
 		}
 	}
 	assert.Assert(t, err != nil)
 	select {
 	case <-broken:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the server still waits for the body")
+		t.Fatal("the server did not see a broken body")
 	}
 }
 
-// A sender waits in a read when its body is taken back, and the read has taken bytes
-// by then. They must not be sent, nor counted as sent: the exchange that they were
-// read for is over.
-func TestWhatALateReadTakesGoesToNobody(t *testing.T) {
-	source := newStalled("taken")
+// A sender is blocked in a read when the body is taken from it, and the read then returns bytes.
+// They must not be sent or counted as sent, because the exchange is over.
+func TestLateReadIsDropped(t *testing.T) {
+	source := newBlockingSource("taken")
 	body := NewBody(source, source.setReadDeadline)
 	s := &sender{out: &Outgoing{Stream: body}, done: make(chan struct{})}
-	body.lend(s)
+	body.setOwner(s)
 	var n int
 	var err error
 	go func() {
 		defer close(s.done)
 		n, err = s.Read(make([]byte, 100))
 	}()
-	<-source.begun
-	assert.NilError(t, body.takeBack(s))
+	<-source.started
+	assert.NilError(t, body.removeOwner(s))
 	<-s.done
 	assert.Equal(t, n, 0)
-	assert.Assert(t, errors.Is(err, errTakenBack))
+	assert.Assert(t, errors.Is(err, errExchangeEnded))
 	assert.Equal(t, s.dropped, int64(5))
 	assert.Assert(t, !body.Whole())
 }
 
-// The first attempt's sender may be anywhere when the next attempt begins: whoever
-// reads, and in whatever pieces, the bytes that reach the servers in the end are the
-// caller's, in order, or the body does not count as whole.
-func TestBodyIsLentToOneSenderAtATime(t *testing.T) {
+// The first attempt's sender may be at any point when the next attempt begins. However the reads
+// interleave, the servers must get the caller's bytes in order, or the body must not count as
+// whole.
+func TestBodyHasOneSenderAtATime(t *testing.T) {
 	text := strings.Repeat("0123456789", 100)
 	for round := range 200 {
 		body := NewBody(strings.NewReader(text), nil)
 		first, second := &sender{out: &Outgoing{Stream: body}}, &sender{out: &Outgoing{Stream: body}}
-		body.lend(first)
-		begun := make(chan int, 1)
+		body.setOwner(first)
+		started := make(chan int, 1)
 		go func() {
 			n, _ := first.Read(make([]byte, 7))
-			begun <- n
+			started <- n
 		}()
 		if round%2 == 0 {
 			runtime.Gosched()
 		}
-		assert.NilError(t, body.takeBack(first))
+		assert.NilError(t, body.removeOwner(first))
 		if !body.Whole() {
-			<-begun
+			<-started
 			continue
 		}
-		body.lend(second)
+		body.setOwner(second)
 		got, err := io.ReadAll(second)
 		assert.NilError(t, err)
 		assert.Equal(t, string(got), text)
-		assert.Equal(t, <-begun, 0)
+		assert.Equal(t, <-started, 0)
 	}
 }
 
-// A source that cannot be woken must not hold the end of an exchange up for ever.
-func TestSourceThatCannotBeWokenHoldsNobodyUp(t *testing.T) {
-	source := newStalled("")
+// A source whose reads cannot be interrupted must not block the end of an exchange.
+func TestExchangeEndsWithUninterruptibleSource(t *testing.T) {
+	source := newBlockingSource("")
 	defer close(source.release)
-	p := peer(t, func(c net.Conn) {
+	p := startServer(t, func(c net.Conn) {
 		readRequestHead(c)
 		_, _ = io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n")
-		<-source.begun
+		<-source.started
 		_, _ = io.WriteString(c, refusal)
 		_, _ = io.Copy(io.Discard, c)
 	})
@@ -269,7 +266,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		resp, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: NewBody(source, unsupported), Length: 200_000, Deadline: far()})
+		resp, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: NewBody(source, unsupported), Length: 200_000, Deadline: farDeadline()})
 		if err == nil {
 			_, _ = io.Copy(io.Discard, resp.Body)
 		}
@@ -277,19 +274,19 @@
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the exchange does not end")
+		t.Fatal("the exchange did not end")
 	}
 }
 
-// The caller's connection is closed under a sender that waits in a read of it, and
-// cannot be given a deadline any more. The read returns by itself, if not at once: the
-// exchange still ends after its sender.
-func TestExchangeWaitsForTheSenderOfAClosedSource(t *testing.T) {
-	source := newStalled("")
-	p := peer(t, func(c net.Conn) {
+// The caller's connection is closed while a sender is blocked in a read of it, and setting a
+// deadline fails. The read returns by itself after a delay: the exchange must still wait for its
+// sender.
+func TestExchangeWaitsForSenderOfClosedSource(t *testing.T) {
+	source := newBlockingSource("")
+	p := startServer(t, func(c net.Conn) {
 		readRequestHead(c)
 		_, _ = io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n")
-		<-source.begun
+		<-source.started
 		_, _ = io.WriteString(c, refusal)
 		_, _ = io.Copy(io.Discard, c)
 	})
@@ -297,35 +294,35 @@
 		time.AfterFunc(30*time.Millisecond, func() { close(source.stopped) })
 		return net.ErrClosed
 	}
-	resp, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: NewBody(source, closed), Length: 200_000, Deadline: far()})
+	resp, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: NewBody(source, closed), Length: 200_000, Deadline: farDeadline()})
 	assert.NilError(t, err)
 	assert.Equal(t, read(t, resp), "")
-	assert.Equal(t, source.reading.Load(), int32(0), "the sender outlived its exchange")
+	assert.Equal(t, source.reading.Load(), int32(0), "the sender is still running after its exchange")
 }
 
-// endless is an upload that never ends.
-type endless struct{}
+// endlessReader is an upload that never ends.
+type endlessReader struct{}
 
-func (endless) Read(p []byte) (int, error) { return len(p), nil }
+func (endlessReader) Read(p []byte) (int, error) { return len(p), nil }
 
-// A server answers and reads nothing of a long upload: its sender waits in a write.
-// The exchange must end with the answer, whatever of the body is out.
-func TestExchangeEndsWithASenderThatWaitsInAWrite(t *testing.T) {
+// A server responds without reading a long upload, and its sender is blocked in a write. The
+// exchange must end with the response, however much of the body was sent.
+func TestExchangeEndsWithSenderBlockedInWrite(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
-	p := peer(t, func(c net.Conn) {
+	p := startServer(t, func(c net.Conn) {
 		readRequestHead(c)
 		_, _ = io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n")
-		// By now the sender has filled what the connection holds.
+		// By now the sender has filled the connection's buffers.
 		time.Sleep(100 * time.Millisecond)
-		// Nothing says that the connection ends: whether it may be kept is the sender's state.
+		// There is no "Connection: close": only the sender's state decides about reuse.
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		<-release
 	})
 	for _, length := range []int64{1 << 40, -1} {
 		ended := make(chan error, 1)
 		go func() {
-			resp, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: NewBody(endless{}, nil), Length: length, Deadline: far()})
+			resp, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: NewBody(endlessReader{}, nil), Length: length, Deadline: farDeadline()})
 			if err == nil {
 				_, err = io.Copy(io.Discard, resp.Body)
 			}
@@ -335,27 +332,26 @@
 		case err := <-ended:
 			assert.NilError(t, err)
 		case <-time.After(5 * time.Second):
-			t.Fatal("the exchange does not end")
+			t.Fatal("the exchange did not end")
 		}
 	}
 }
 
-// A server answers an upload early and closes the connection, as one does that wants no
-// more of it. The sender notices first: its write fails. The answer is there all the
-// same, and must be read to its end.
-func TestAnswerIsReadThoughItsServerClosedUnderTheSender(t *testing.T) {
+// A server responds to an upload early and closes the connection because it needs no more of it.
+// The sender's write fails first. The response must still be read to its end.
+func TestResponseIsReadAfterServerCloses(t *testing.T) {
 	text := strings.Repeat("a", 30_000)
-	p := peer(t, func(c net.Conn) {
+	p := startServer(t, func(c net.Conn) {
 		readRequestHead(c)
 		_, _ = io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n")
 		_, _ = io.CopyN(io.Discard, c, 1000)
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	})
 	for _, length := range []int64{1 << 40, -1} {
-		body := NewBody(endless{}, nil)
-		resp, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: body, Length: length, Deadline: far()})
+		body := NewBody(endlessReader{}, nil)
+		resp, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: body, Length: length, Deadline: farDeadline()})
 		assert.NilError(t, err)
-		// The sender's write fails before the answer is read.
+		// The sender's write fails before the response is read.
 		time.Sleep(50 * time.Millisecond)
 		got, err := io.ReadAll(resp.Body)
 		assert.NilError(t, err)
@@ -363,10 +359,10 @@
 	}
 }
 
-// A gate reads the beginning of a body before it lets the request run. The server must
-// get the whole body all the same, the sum be that of a body that was not read ahead,
-// and one that broke off look broken.
-func TestBodyIsReadAhead(t *testing.T) {
+// A gate reads the beginning of a body before it lets the request run. The server must still get
+// the whole body, the hash must equal that of a body that was not read ahead, and a failed body
+// must still fail.
+func TestBodyReadAhead(t *testing.T) {
 	text := strings.Repeat("body ", 50)
 	for _, c := range []struct {
 		desc   string
@@ -374,17 +370,17 @@
 		source io.Reader
 		err    error
 	}{
-		{"a part of it", 20, strings.NewReader(text), nil},
-		{"all of it and more", 1000, strings.NewReader(text), nil},
-		{"it breaks off", 1000, io.MultiReader(strings.NewReader(text), iotest.ErrReader(io.ErrClosedPipe)), io.ErrClosedPipe},
+		{"part of the body", 20, strings.NewReader(text), nil},
+		{"more than the body", 1000, strings.NewReader(text), nil},
+		{"failed body", 1000, io.MultiReader(strings.NewReader(text), iotest.ErrReader(io.ErrClosedPipe)), io.ErrClosedPipe},
 	} {
 		t.Run(c.desc, func(t *testing.T) {
 			b := NewBody(c.source, nil)
 			b.SumUp()
-			b.ReadAhead(c.ahead, far())
+			b.ReadAhead(c.ahead, farDeadline())
 			reader := &sender{}
-			b.lend(reader)
-			got, err := io.ReadAll(held{b, reader})
+			b.setOwner(reader)
+			got, err := io.ReadAll(ownerReader{b, reader})
 			assert.Equal(t, string(got), text)
 			assert.Assert(t, errors.Is(err, c.err), err)
 			sum, known := b.Sum()
