--- /dev/null
+++ b/internal/quarantine/exchange.go
@@ -0,0 +1,97 @@
+package quarantine
+
+import (
+	"context"
+	"time"
+
+	apiv1 "cactuspath/api/cactuspath/v1"
+	"cactuspath/core/quarantine"
+)
+
+// Nodes also exchange with control replicas. These keep the ends of backend servers when all
+// nodes have stopped, and a node that reaches no other node gets the others' through them.
+
+const (
+	// exchangeInterval is the interval at which a node exchanges with a control replica while it
+	// has something to send or may have missed something.
+	exchangeInterval = quarantine.CalmEvery
+	// nodesAtFullRate is the number of nodes up to which each uses exchangeInterval. In a larger
+	// fleet the interval grows with the number of nodes, so that the load on control stays the same.
+	nodesAtFullRate = 256
+	// exchangeTimeout limits one request to a control replica.
+	exchangeTimeout = 500 * time.Millisecond
+	// maxRounds is the number of requests that synchronize two ledgers: a comparison, marks,
+	// and the ends that were requested.
+	maxRounds = 4
+)
+
+// Ask sends messages to a control replica and returns its messages.
+type Ask func(ctx context.Context, messages []*apiv1.QuarantineNews) ([]*apiv1.QuarantineNews, error)
+
+// Converse exchanges with control replicas until ctx is done, each time with the one that
+// choose returns; nil for none.
+func (k *Keeper) Converse(ctx context.Context, choose func() Ask) {
+	// The first exchange is immediate: a node that has just started may have to refuse its first
+	// request.
+	for wait, active := time.Duration(0), true; ; wait, active = k.nextExchange() {
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(wait):
+		case <-k.exchangeNow:
+			active = true
+		}
+		if ask := choose(); active && ask != nil {
+			k.exchange(ctx, ask)
+		}
+	}
+}
+
+func (k *Keeper) nextExchange() (wait time.Duration, active bool) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	return exchangeInterval * time.Duration(1+k.gossip.Peers()/nodesAtFullRate), k.gossip.Restless(k.now())
+}
+
+// exchange performs one exchange with one replica. If the replica does not respond, the next
+// exchange, with another replica, makes up for it.
+func (k *Keeper) exchange(ctx context.Context, ask Ask) {
+	k.mu.Lock()
+	messages := []*apiv1.QuarantineNews{toWire(k.options.Host, k.gossip.Compare())}
+	k.mu.Unlock()
+	for range maxRounds {
+		askCtx, cancel := context.WithTimeout(ctx, exchangeTimeout)
+		replies, err := ask(askCtx, messages)
+		cancel()
+		if err != nil {
+			return
+		}
+		if messages = k.Answer(replies); len(messages) == 0 {
+			return
+		}
+	}
+}
+
+// Answer processes messages and returns the replies to their sender; messages for other nodes
+// are sent to these.
+func (k *Keeper) Answer(messages []*apiv1.QuarantineNews) []*apiv1.QuarantineNews {
+	var answers []*apiv1.QuarantineNews
+	for _, news := range messages {
+		from, m, err := fromWire(news)
+		if err != nil {
+			k.options.Counters.Malformed.Add(1)
+			continue
+		}
+		k.update(func(now time.Duration) (others []quarantine.Parcel) {
+			for _, p := range k.gossip.Receive(now, from, m) {
+				if p.To == from {
+					answers = append(answers, toWire(k.options.Host, p.Message))
+				} else {
+					others = append(others, p)
+				}
+			}
+			return others
+		})
+	}
+	return answers
+}
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -28,19 +28,19 @@
 	assert.DeepEqual(t, got, m)
 }
 
-func TestMalformedDatagramsAreLeftOut(t *testing.T) {
+func TestMalformedDatagramsAreIgnored(t *testing.T) {
 	k := New(Options{Host: "h", Counters: &Counters{}})
 	uneven := encode("x", quarantine.Message{News: quarantine.News{Ends: []quarantine.End{{ID: 1, Contents: []quarantine.Content{contentOf("/a")}}}}})
-	tooOld := encode("x", quarantine.Message{News: quarantine.News{Ends: []quarantine.End{{ID: 1, Age: oldest + time.Second}}}})
+	tooOld := encode("x", quarantine.Message{News: quarantine.News{Ends: []quarantine.End{{ID: 1, Age: maxAge + time.Second}}}})
 	for _, bad := range [][]byte{nil, {1}, {Mark, 255}, uneven[:len(uneven)-3], tooOld} {
 		k.Receive(bad)
 	}
 	assert.Equal(t, k.options.Counters.Malformed.Value(), int64(5))
 }
 
-// Three servers end under a request, each beside another node. Each node hears of the
-// others' and keeps the request away, also one that starts afterwards.
-func TestKeepersTellEachOther(t *testing.T) {
+// Three servers terminate while running the same request, each at another node. Every node,
+// including one that starts later, must learn of all ends and quarantine the request.
+func TestKeepersExchangeEnds(t *testing.T) {
 	keepers := map[string]*Keeper{}
 	add := func(host string) *Keeper {
 		k := New(Options{Host: host, Counters: &Counters{}, Send: func(to string, datagram []byte) {
@@ -68,7 +68,7 @@
 		k.Completed(contentOf("/other"))
 	}
 	late := add("d")
-	late.with(func(now time.Duration) []quarantine.Parcel { return late.gossip.Tick(now) })
+	late.update(func(now time.Duration) []quarantine.Parcel { return late.gossip.Tick(now) })
 	for host, k := range keepers {
 		assert.Assert(t, k.Barred(fatal) > 0, host)
 		assert.Equal(t, k.Barred(contentOf("/other")), time.Duration(0), host)
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -16,18 +16,17 @@
 )
 
 const (
-	// fileName is the file with what a control replica knows of servers that ended, in
-	// its data folder.
+	// fileName is the file in a control replica's data folder that holds the known ends of
+	// backend servers.
 	fileName = "quarantine"
-	// storeEvery is how often the file is written at most, while what it holds changes.
-	storeEvery = 250 * time.Millisecond
+	// storeInterval is the minimum interval between writes of the file while its content changes.
+	storeInterval = 250 * time.Millisecond
 )
 
-// Store keeps the ledger in a folder until ctx ends, so that it outlasts the end of all
-// processes. A disk that refuses it costs only that. What the folder holds already is
-// loaded before.
+// Store writes the ledger to a folder until ctx is done, so that it survives a stop of all
+// processes. If writing to the disk fails, only this protection is lost. Load must be called first.
 func (k *Keeper) Store(ctx context.Context, folder string) {
-	ticker := time.NewTicker(storeEvery)
+	ticker := time.NewTicker(storeInterval)
 	defer ticker.Stop()
 	failing := false
 	for {
@@ -36,22 +35,22 @@
 			return
 		case <-ticker.C:
 		}
-		k.with(func(now time.Duration) []quarantine.Parcel {
+		k.update(func(now time.Duration) []quarantine.Parcel {
 			k.gossip.Ledger.Tick(now)
 			return nil
 		})
 		digest := k.digest()
-		if digest == k.stored {
+		if digest == k.storedDigest {
 			continue
 		}
-		if err := k.write(folder); err != nil {
+		if err := k.save(folder); err != nil {
 			if !failing {
-				klog.ErrorS(err, "Servers that ended are not stored; trying on", "host", k.options.Host, "folder", folder)
+				klog.ErrorS(err, "Quarantine ledger not stored; retrying", "host", k.options.Host, "folder", folder)
 			}
 			failing = true
 			continue
 		}
-		k.stored, failing = digest, false
+		k.storedDigest, failing = digest, false
 	}
 }
 
@@ -61,7 +60,7 @@
 	return k.gossip.Ledger.Digest()
 }
 
-func (k *Keeper) write(folder string) error {
+func (k *Keeper) save(folder string) error {
 	k.mu.Lock()
 	ends := k.gossip.Ledger.Held(k.now(), func(uint64) bool { return true })
 	k.mu.Unlock()
@@ -73,8 +72,8 @@
 	return wal.WriteSynced(folder, fileName, data)
 }
 
-// Load takes in what was stored in a folder. By a clock that was set back the ends are
-// as old as they were when they were stored.
+// Load reads the ledger from a folder. If the clock was set back since it was stored, the ends
+// keep the age that they had then.
 func (k *Keeper) Load(folder string) error {
 	data, err := os.ReadFile(filepath.Join(folder, fileName))
 	if errors.Is(err, os.ErrNotExist) {
@@ -85,7 +84,7 @@
 	}
 	stored := &apiv1.StoredQuarantine{}
 	if err := proto.Unmarshal(data, stored); err != nil {
-		return errors.Wrapf(err, "%s cannot be read; it is written anew", filepath.Join(folder, fileName))
+		return errors.Wrapf(err, "cannot parse %s; it will be overwritten", filepath.Join(folder, fileName))
 	}
 	_, m, err := fromWire(stored.News)
 	if err != nil {
@@ -95,10 +94,10 @@
 	for i := range m.Ends {
 		m.Ends[i].Age += time.Duration(since) * time.Millisecond
 	}
-	k.with(func(now time.Duration) []quarantine.Parcel {
+	k.update(func(now time.Duration) []quarantine.Parcel {
 		k.gossip.Ledger.Learn(now, m.News)
 		return nil
 	})
-	k.stored = k.digest()
+	k.storedDigest = k.digest()
 	return nil
 }
--- a/internal/quarantine/store_test.go
+++ b/internal/quarantine/store_test.go
@@ -14,22 +14,22 @@
 	"cactuspath/core/quarantine"
 )
 
-func alone() *Keeper { return New(Options{Host: "h", Counters: &Counters{}}) }
+func newKeeper() *Keeper { return New(Options{Host: "h", Counters: &Counters{}}) }
 
-// threeEnds is a keeper under whose eyes a request ended three servers.
-func threeEnds(c quarantine.Content) *Keeper {
-	k := alone()
+// keeperWithThreeEnds returns a Keeper that recorded three ends of its server during a request.
+func keeperWithThreeEnds(c quarantine.Content) *Keeper {
+	k := newKeeper()
 	for range 3 {
 		k.Ended([]quarantine.Content{c}, nil)
 	}
 	return k
 }
 
-// All processes end at one moment. What a control replica knew is there again when it
-// starts, as old as it is.
+// All processes stop at once. When a control replica restarts, it must load its ledger with
+// the ages of the ends.
 func TestStoredLedgerIsLoaded(t *testing.T) {
 	folder, fatal := t.TempDir(), contentOf("/fatal")
-	before := alone()
+	before := newKeeper()
 	assert.NilError(t, before.Load(folder), "an empty folder")
 	ctx, cancel := context.WithCancel(t.Context())
 	stored := make(chan struct{})
@@ -44,31 +44,31 @@
 		if _, err := os.Stat(filepath.Join(folder, fileName)); err == nil {
 			break
 		}
-		assert.Assert(t, time.Now().Before(until), "never stored")
+		assert.Assert(t, time.Now().Before(until), "the file was not stored in time")
 	}
 	cancel()
 	<-stored
-	after := alone()
+	after := newKeeper()
 	assert.NilError(t, after.Load(folder))
 	assert.Assert(t, after.Barred(fatal) > 0)
 	assert.Assert(t, after.Barred(fatal) <= before.Barred(fatal)+time.Second)
 }
 
-// The time of day was set forward or back between storing and loading.
-func TestLoadingWithAnotherTimeOfDay(t *testing.T) {
+// The clock was set forward or back between storing and loading.
+func TestLoadAfterClockChange(t *testing.T) {
 	fatal := contentOf("/fatal")
 	for _, c := range []struct {
 		desc   string
 		stored time.Duration
 		barred bool
 	}{
-		{"set back", time.Hour, true},
-		{"set forward", -time.Hour, false},
+		{"clock set back", time.Hour, true},
+		{"clock set forward", -time.Hour, false},
 	} {
 		t.Run(c.desc, func(t *testing.T) {
 			folder := t.TempDir()
-			before := threeEnds(fatal)
-			assert.NilError(t, before.write(folder))
+			before := keeperWithThreeEnds(fatal)
+			assert.NilError(t, before.save(folder))
 			file := filepath.Join(folder, fileName)
 			data, err := os.ReadFile(file)
 			assert.NilError(t, err)
@@ -78,35 +78,34 @@
 			data, err = proto.Marshal(held)
 			assert.NilError(t, err)
 			assert.NilError(t, os.WriteFile(file, data, 0o600))
-			k := alone()
+			k := newKeeper()
 			assert.NilError(t, k.Load(folder))
 			assert.Equal(t, k.Barred(fatal) > 0, c.barred)
-			assert.Assert(t, k.Barred(fatal) <= before.Barred(fatal)+time.Second, "kept away for longer than before")
+			assert.Assert(t, k.Barred(fatal) <= before.Barred(fatal)+time.Second, "quarantined for longer than before")
 		})
 	}
 }
 
-// A file that cannot be read costs what it held and nothing else: the replica starts,
-// and writes it anew.
-func TestUnreadableFileIsLeftOut(t *testing.T) {
+// An unreadable file must only cost its content: the replica starts and overwrites the file.
+func TestUnreadableFileIsIgnored(t *testing.T) {
 	folder := t.TempDir()
 	assert.NilError(t, os.WriteFile(filepath.Join(folder, fileName), []byte{255}, 0o600))
-	k := threeEnds(contentOf("/fatal"))
-	assert.ErrorContains(t, k.Load(folder), "written anew")
-	assert.NilError(t, k.write(folder))
-	assert.NilError(t, alone().Load(folder))
+	k := keeperWithThreeEnds(contentOf("/fatal"))
+	assert.ErrorContains(t, k.Load(folder), "will be overwritten")
+	assert.NilError(t, k.save(folder))
+	assert.NilError(t, newKeeper().Load(folder))
 }
 
-// A node that reaches no other node hears through a control replica what ended servers
-// beside them.
-func TestNodesHearOfEachOtherThroughControl(t *testing.T) {
+// A node that reaches no other node must learn through a control replica which requests
+// terminated servers elsewhere.
+func TestNodesExchangeThroughControl(t *testing.T) {
 	fatal := contentOf("/fatal")
-	replica, one, two := alone(), threeEnds(fatal), alone()
+	replica, one, two := newKeeper(), keeperWithThreeEnds(fatal), newKeeper()
 	ask := func(_ context.Context, messages []*apiv1.QuarantineNews) ([]*apiv1.QuarantineNews, error) {
 		return replica.Answer(messages), nil
 	}
-	one.converse(t.Context(), ask)
+	one.exchange(t.Context(), ask)
 	assert.Assert(t, replica.Barred(fatal) > 0)
-	two.converse(t.Context(), ask)
+	two.exchange(t.Context(), ask)
 	assert.Assert(t, two.Barred(fatal) > 0)
 }
--- a/internal/quarantine/wire.go
+++ b/internal/quarantine/wire.go
@@ -10,25 +10,25 @@
 	"cactuspath/core/quarantine"
 )
 
-// Mark is the first byte of a datagram for a Keeper. No load report, which comes on the
-// same socket, begins with it.
+// Mark is the first byte of a datagram for a Keeper. It tells them apart from load reports on
+// the same socket, none of which begins with it.
 const Mark = 0
 
-var errDatagram = errors.New("malformed message of servers that ended; both nodes must run the same release")
+var errMalformed = errors.New("malformed quarantine message; both nodes must run the same release")
 
-// oldest bounds the ages that are believed: nothing is remembered for as long.
-const oldest = 24 * time.Hour
+// maxAge is the largest age that is accepted: no record is kept that long.
+const maxAge = 24 * time.Hour
 
-func age(ms uint64) (time.Duration, error) {
-	if ms > uint64(oldest.Milliseconds()) {
-		return 0, errDatagram
+func parseAge(ms uint64) (time.Duration, error) {
+	if ms > uint64(maxAge.Milliseconds()) {
+		return 0, errMalformed
 	}
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// encode renders a message as a datagram.
+// encode encodes a message as a datagram.
 func encode(from string, m quarantine.Message) []byte {
-	// The message holds nothing that cannot be rendered.
+	// The message contains nothing that cannot be encoded.
 	data, err := proto.MarshalOptions{}.MarshalAppend([]byte{Mark}, toWire(from, m))
 	if err != nil {
 		panic(err)
@@ -36,11 +36,11 @@
 	return data
 }
 
-// decode reads a datagram.
+// decode decodes a datagram.
 func decode(datagram []byte) (from string, m quarantine.Message, err error) {
 	news := &apiv1.QuarantineNews{}
 	if len(datagram) == 0 || datagram[0] != Mark || proto.Unmarshal(datagram[1:], news) != nil {
-		return "", m, errDatagram
+		return "", m, errMalformed
 	}
 	return fromWire(news)
 }
@@ -71,10 +71,10 @@
 	m = quarantine.Message{Digest: news.GetDigest(), Compare: news.GetCompare(), Asked: news.GetAsked()}
 	for _, e := range news.GetEnds() {
 		if len(e.Exact) != len(e.Alike) {
-			return "", m, errDatagram
+			return "", m, errMalformed
 		}
 		end := quarantine.End{ID: quarantine.EndID(e.Id)}
-		if end.Age, err = age(e.AgeMs); err != nil {
+		if end.Age, err = parseAge(e.AgeMs); err != nil {
 			return "", m, err
 		}
 		for i := range e.Exact {
@@ -87,7 +87,7 @@
 	}
 	for _, c := range news.GetCompletions() {
 		completion := quarantine.Completion{Key: quarantine.Key(c.Key)}
-		if completion.Age, err = age(c.AgeMs); err != nil {
+		if completion.Age, err = parseAge(c.AgeMs); err != nil {
 			return "", m, err
 		}
 		m.Completions = append(m.Completions, completion)
