--- a/core/quarantine/content.go
+++ b/core/quarantine/content.go
@@ -1,13 +1,14 @@
-// Package quarantine keeps requests away from backend servers under which servers
-// keep ending.
+// Package quarantine keeps requests that repeatedly crash backend servers away from the
+// remaining ones.
 //
-// A request may crash whatever server runs it, and its callers send it again, under
-// new ids and through other nodes. No single call sees more than its own few attempts;
-// what servers have in common that ended is seen only by putting together what ran on
-// them. So each gate tells the others what was running when its server ended, and what
-// ran to its end, and each draws the same conclusion from that.
+// A request may crash any server that runs it, and its callers retry it with new ids
+// and through other nodes. A single call makes only a few attempts, so the cause shows
+// only when the requests that were running on all crashed servers are compared. Each
+// gate therefore tells the others which requests were running when its server crashed
+// and which ones completed, and every node derives the same quarantine from this
+// information.
 //
-// Types here are pure and not safe for concurrent use.
+// The types do no I/O and are not safe for concurrent use.
 package quarantine
 
 import (
@@ -18,51 +19,53 @@
 	"strings"
 )
 
-// Key identifies the content of requests: equal for equal content on every node. It is
-// a part of a SHA-256 sum, so that nobody can make a harmless request look like
-// another one. 0 stands for none.
+// Key identifies the content of requests and is equal for equal content on every node.
+// It is a part of a SHA-256 hash, so that nobody can craft a harmless request that has
+// the key of another one. 0 means none.
 type Key uint64
 
-// String renders the key for logs.
+// String formats the key for logs.
 func (k Key) String() string { return strconv.FormatUint(uint64(k), 16) }
 
-// Content identifies what a request asks for, whatever its id and wherever it came in.
-// The zero Content is that of a request whose body is not known yet.
+// Content identifies what a request asks for, regardless of its id and of the node that
+// received it. The zero Content is that of a request whose body is not known yet.
 type Content struct {
-	// Exact tells requests apart by method, host, path, query, body, and by the service
-	// whose callers sent them.
+	// Exact distinguishes requests by method, host, path, query, body, and the service
+	// of their callers.
 	Exact Key
-	// Alike leaves out the query, the callers' service and the length of a long body: a
-	// caller that comes back may add another query, come from elsewhere, or send its body
-	// without a length.
+	// Alike omits the query, the callers' service and the length of a long body: a
+	// retry may have another query, come from another service, or send its body without
+	// a length.
 	Alike Key
 }
 
-// Known tells whether the content is known.
+// Known reports whether the content is known.
 func (c Content) Known() bool { return c.Exact != 0 }
 
-// Target is where a request goes and who sent it.
+// Target is the destination of a request and its sender.
 type Target struct {
 	Method, Host string
 	// URI is the path with its query.
 	URI string
-	// Caller is the service whose callers sent it; empty if that is not known.
+	// Caller is the service of the callers that sent the request, or empty if it is not
+	// known.
 	Caller string
-	// Length is that of a body of more than PrefixBytes, if its sender tells it before.
+	// Length is the length of a body of more than PrefixBytes, if its sender announces
+	// it.
 	Length int64
 }
 
-// PrefixBytes is how much of a body tells contents apart. Longer bodies go through a
-// node without being held in memory, and are known by their beginning.
+// PrefixBytes is the length of the part of a body that distinguishes contents. Longer
+// bodies pass through a node without being buffered and are identified by this prefix.
 const PrefixBytes = 64 << 10
 
-// BodySum identifies a body by its first PrefixBytes, and by whether there is more.
+// BodySum identifies a body by its first PrefixBytes and by whether it is longer.
 type BodySum [sha256.Size]byte
 
-// noBody is the sum of an empty body, which most requests have.
+// noBody is the hash of an empty body, which most requests have.
 var noBody = sumOf(nil)
 
-// SumOf is the sum of a body held in memory.
+// SumOf returns the hash of a body that is held in memory.
 func SumOf(body []byte) BodySum {
 	if len(body) == 0 {
 		return noBody
@@ -77,20 +80,20 @@
 	return sum
 }
 
-// BodyDigest sums a body up as it passes.
+// BodyDigest hashes a body as it is streamed.
 type BodyDigest struct {
 	hash hash.Hash
 	read int
-	// more: the body is longer than what is summed up.
+	// more is set if the body is longer than the hashed prefix.
 	more  bool
 	sum   BodySum
 	known bool
 }
 
-// NewBodyDigest returns a digest that has seen nothing.
+// NewBodyDigest returns a digest of an empty body.
 func NewBodyDigest() *BodyDigest { return &BodyDigest{hash: sha256.New()} }
 
-// Write takes in the next bytes.
+// Write adds the next bytes of the body.
 func (d *BodyDigest) Write(p []byte) {
 	if left := PrefixBytes - d.read; len(p) > left {
 		p, d.more = p[:left], true
@@ -102,8 +105,8 @@
 	d.read += len(p)
 }
 
-// Sum is the sum, if it is known: the body has ended, or there is more of it than is
-// summed up.
+// Sum returns the hash if it is known: the body has ended, or it is longer than the
+// hashed prefix.
 func (d *BodyDigest) Sum(ended bool) (sum BodySum, known bool) {
 	if d.known || !ended && !d.more {
 		return d.sum, d.known
@@ -118,7 +121,7 @@
 	return d.sum, true
 }
 
-// ContentOf is the content of a request whose body has the sum.
+// ContentOf returns the content of a request whose body has the given hash.
 func ContentOf(t Target, body BodySum) Content {
 	path, _, _ := strings.Cut(t.URI, "?")
 	host := strings.ToLower(t.Host)
@@ -128,20 +131,21 @@
 	}
 }
 
-// PathOf is the key of all requests with the method, host and path, whatever their
-// bodies.
+// PathOf returns the key of all requests with the same method, host and path,
+// regardless of their bodies.
 func PathOf(t Target) Key {
 	path, _, _ := strings.Cut(t.URI, "?")
 	return keyOf("path", t.Method, strings.ToLower(t.Host), path)
 }
 
-// usualTarget is more than most targets take, in bytes, with what frames their parts.
-const usualTarget = 256
+// typicalTargetBytes exceeds the encoded size of most targets, with the length prefixes
+// of their parts.
+const typicalTargetBytes = 256
 
-// keyOf sums up parts, each with its length before it: two lists of parts that read the
-// same when they are joined differ.
+// keyOf hashes the parts, each prefixed with its length, so that different lists of
+// parts with the same concatenation have different keys.
 func keyOf(parts ...string) Key {
-	joined := make([]byte, 0, usualTarget)
+	joined := make([]byte, 0, typicalTargetBytes)
 	for _, p := range parts {
 		joined = binary.BigEndian.AppendUint32(joined, uint32(len(p)))
 		joined = append(joined, p...)
--- a/core/quarantine/content_test.go
+++ b/core/quarantine/content_test.go
@@ -24,7 +24,7 @@
 		exact, alike bool
 	}{
 		{"the same", listTarget, body, true, true},
-		{"host in small letters", change(func(t *Target) { t.Host = "snags.example" }), body, true, true},
+		{"host in lower case", change(func(t *Target) { t.Host = "snags.example" }), body, true, true},
 		{"another body", listTarget, SumOf([]byte("b")), false, false},
 		{"no body", listTarget, SumOf(nil), false, false},
 		{"another method", change(func(t *Target) { t.Method = "PUT" }), body, false, false},
@@ -41,9 +41,9 @@
 	}
 }
 
-// A node holds short bodies in memory and passes long ones on. The same request must
-// have the same content whichever way its body came: in one piece or in many, with its
-// length told before or not.
+// TestBodySumDoesNotDependOnThePieces guards against different contents for the same
+// request. A node buffers short bodies and streams long ones, so a body arrives in one
+// piece or in many, with or without a length announced before it.
 func TestBodySumDoesNotDependOnThePieces(t *testing.T) {
 	for _, size := range []int{0, 1, PrefixBytes - 1, PrefixBytes, PrefixBytes + 1, 3 * PrefixBytes} {
 		body := bytes.Repeat([]byte("x"), size)
@@ -59,8 +59,9 @@
 	}
 }
 
-// A body whose end has not come is not known, unless there is more of it than is
-// summed up; one of exactly that length is another one than a longer one.
+// TestBodySumIsKnownOnceItCannotChange guards against using the hash of an incomplete
+// body: it is known only once the body has ended or exceeds the hashed prefix. A body
+// of exactly the prefix length must differ from a longer one.
 func TestBodySumIsKnownOnceItCannotChange(t *testing.T) {
 	d := NewBodyDigest()
 	d.Write(bytes.Repeat([]byte("x"), PrefixBytes))
--- a/core/quarantine/gossip_test.go
+++ b/core/quarantine/gossip_test.go
@@ -10,39 +10,39 @@
 	"gotest.tools/v3/assert"
 )
 
-// fleet is a number of nodes in virtual time that send each other datagrams, some of
-// which are lost.
+// fleet simulates nodes in virtual time that exchange datagrams, some of which are
+// lost.
 type fleet struct {
 	random *rand.Rand
 	now    time.Duration
 	nodes  map[string]*Gossip
 	hosts  []string
 	down   map[string]bool
-	// cut tells whether nothing passes from one host to the other.
-	cut  func(from, to string) bool
-	loss float64
-	post post
-	sent map[string][]time.Duration
-	// bytes counts what each host sent.
+	// cut reports whether datagrams from one host to another are dropped.
+	cut   func(from, to string) bool
+	loss  float64
+	queue queue
+	sent  map[string][]time.Duration
+	// bytes counts the bytes sent by each host.
 	bytes map[string]int
 }
 
-// letter is a message under way.
-type letter struct {
+// delivery is a message in flight.
+type delivery struct {
 	at   time.Duration
 	from string
 	Parcel
 }
 
-type post []letter
+type queue []delivery
 
-func (p post) Len() int           { return len(p) }
-func (p post) Less(i, j int) bool { return p[i].at < p[j].at }
-func (p post) Swap(i, j int)      { p[i], p[j] = p[j], p[i] }
-func (p *post) Push(x any)        { *p = append(*p, x.(letter)) }
-func (p *post) Pop() any {
-	last := (*p)[len(*p)-1]
-	*p = (*p)[:len(*p)-1]
+func (q queue) Len() int           { return len(q) }
+func (q queue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q queue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *queue) Push(x any)        { *q = append(*q, x.(delivery)) }
+func (q *queue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
@@ -53,13 +53,13 @@
 		f.hosts = append(f.hosts, fmt.Sprint("h", i))
 	}
 	for _, h := range f.hosts {
-		f.begin(h)
+		f.startNode(h)
 	}
 	return f
 }
 
-// begin starts a node that knows nothing but the others.
-func (f *fleet) begin(host string) {
+// startNode starts a node that knows the other hosts and has an empty ledger.
+func (f *fleet) startNode(host string) {
 	g := NewGossip(rand.New(rand.NewPCG(f.random.Uint64(), 0)), f.now)
 	var peers []string
 	for _, h := range f.hosts {
@@ -78,18 +78,18 @@
 		if f.random.Float64() < f.loss || f.cut(from, p.To) {
 			continue
 		}
-		heap.Push(&f.post, letter{f.now + time.Duration(1+f.random.IntN(15))*time.Millisecond, from, p})
+		heap.Push(&f.queue, delivery{f.now + time.Duration(1+f.random.IntN(15))*time.Millisecond, from, p})
 	}
 }
 
-// run lets time pass.
+// run advances the virtual time.
 func (f *fleet) run(d time.Duration) {
 	const step = 10 * time.Millisecond
 	for end := f.now + d; f.now < end; f.now += step {
-		for len(f.post) > 0 && f.post[0].at <= f.now {
-			l := heap.Pop(&f.post).(letter)
-			if !f.down[l.To] {
-				f.send(l.To, f.nodes[l.To].Receive(f.now, l.from, l.Message))
+		for len(f.queue) > 0 && f.queue[0].at <= f.now {
+			msg := heap.Pop(&f.queue).(delivery)
+			if !f.down[msg.To] {
+				f.send(msg.To, f.nodes[msg.To].Receive(f.now, msg.from, msg.Message))
 			}
 		}
 		for i, h := range f.hosts {
@@ -100,18 +100,18 @@
 	}
 }
 
-func (f *fleet) ends(host string, contents ...Content) {
+func (f *fleet) crash(host string, contents ...Content) {
 	g := f.nodes[host]
-	f.send(host, g.Spread(f.now, g.Ledger.Ended(f.now, ended(contents...))))
+	f.send(host, g.Spread(f.now, g.Ledger.Ended(f.now, newEnd(contents...))))
 }
 
-func (f *fleet) completes(host string, c Content) {
+func (f *fleet) complete(host string, c Content) {
 	g := f.nodes[host]
 	f.send(host, g.Spread(f.now, g.Ledger.Completed(f.now, c)))
 }
 
-// unaware are the hosts that run and would let a request through.
-func (f *fleet) unaware(c Content) []string {
+// admitting returns the running hosts that do not quarantine a content.
+func (f *fleet) admitting(c Content) []string {
 	var list []string
 	for _, h := range f.hosts {
 		if !f.down[h] && f.nodes[h].Ledger.Barred(f.now, c) == 0 {
@@ -121,45 +121,47 @@
 	return list
 }
 
-// contact is how long everybody may take to hear: less than the three seconds that the
-// users allow, since a request sent in the last moment must be known as well.
-const contact = 2 * time.Second
+// maxPropagation is the time within which all nodes must know of a quarantine. It is
+// below the three seconds that users allow, because requests sent in the last moment
+// count as well.
+const maxPropagation = 2 * time.Second
 
-// A request ends servers at three nodes of a fleet, with a popular one beside it, and
-// comes again at any node. Within the time the users allow all must know, at each size,
-// though datagrams are lost, nodes restart, some were cut off meanwhile and control
-// takes no part; and nobody may keep the popular one away.
-func TestAllHearInTime(t *testing.T) {
+// TestAllNodesLearnInTime guards against nodes that learn too late of a quarantine. A
+// request crashes servers at three nodes while a popular request runs beside it, and
+// may be retried at any node. All nodes must quarantine it in time at every fleet size,
+// despite datagram loss, restarts and partitions and without control replicas, and none
+// may quarantine the popular request.
+func TestAllNodesLearnInTime(t *testing.T) {
 	fatal, popular := get("/fatal"), get("/popular")
 	for _, size := range []int{6, 13, 65, 195} {
 		for _, c := range []struct {
 			desc string
 			loss float64
-			// before and after are done around the third end.
+			// before and after run before and after the third crash.
 			before, after func(f *fleet)
 		}{
 			{desc: "undisturbed"},
 			{desc: "every third datagram is lost", loss: 0.33},
-			{desc: "a third restarts after the ends", after: func(f *fleet) {
+			{desc: "a third of the nodes restarts after the crashes", after: func(f *fleet) {
 				for _, h := range f.hosts[:size/3] {
-					f.begin(h)
+					f.startNode(h)
 				}
 			}},
 			{desc: "a node was down", before: func(f *fleet) { f.down[f.hosts[size-1]] = true }, after: func(f *fleet) {
 				f.run(time.Second)
-				f.begin(f.hosts[size-1])
+				f.startNode(f.hosts[size-1])
 			}},
-			{desc: "a third was cut off", before: func(f *fleet) {
-				inner := map[string]bool{}
+			{desc: "a third of the nodes was partitioned", before: func(f *fleet) {
+				isolated := map[string]bool{}
 				for _, h := range f.hosts[size-size/3:] {
-					inner[h] = true
+					isolated[h] = true
 				}
-				f.cut = func(from, to string) bool { return inner[from] != inner[to] }
+				f.cut = func(from, to string) bool { return isolated[from] != isolated[to] }
 			}, after: func(f *fleet) {
 				f.run(5 * time.Second)
 				f.cut = func(string, string) bool { return false }
 			}},
-			{desc: "two halves hear each other through one node only", before: func(f *fleet) {
+			{desc: "two halves are connected through one node only", before: func(f *fleet) {
 				half := map[string]bool{}
 				for _, h := range f.hosts[size/2:] {
 					half[h] = true
@@ -170,40 +172,40 @@
 		} {
 			t.Run(fmt.Sprint(c.desc, " of ", size), func(t *testing.T) {
 				f := newFleet(size, c.loss)
-				f.run(startFor)
+				f.run(startupPeriod)
 				for _, h := range f.hosts {
-					f.completes(h, popular)
+					f.complete(h, popular)
 				}
-				f.ends(f.hosts[0], fatal, popular)
+				f.crash(f.hosts[0], fatal, popular)
 				f.run(200 * time.Millisecond)
-				f.ends(f.hosts[1], popular, fatal)
+				f.crash(f.hosts[1], popular, fatal)
 				f.run(200 * time.Millisecond)
 				if c.before != nil {
 					c.before(f)
 				}
-				f.ends(f.hosts[2], fatal, popular)
+				f.crash(f.hosts[2], fatal, popular)
 				if c.after != nil {
 					f.run(500 * time.Millisecond)
 					c.after(f)
 				}
-				f.run(contact)
-				assert.DeepEqual(t, f.unaware(fatal), []string(nil))
-				assert.Equal(t, len(f.unaware(popular)), size, "who lets the popular one through")
+				f.run(maxPropagation)
+				assert.DeepEqual(t, f.admitting(fatal), []string(nil))
+				assert.Equal(t, len(f.admitting(popular)), size, "nodes that admit the popular request")
 			})
 		}
 	}
 }
 
-// Whatever happens, no node sends more in any second than it may, and a fleet with
-// nothing to tell sends next to nothing.
-func TestTellingStaysWithinItsBudget(t *testing.T) {
+// TestGossipStaysWithinBudget guards against a node that exceeds its budget in any
+// second, and against traffic in a fleet without news.
+func TestGossipStaysWithinBudget(t *testing.T) {
 	const size = 195
 	f := newFleet(size, 0)
-	f.run(startFor)
+	f.run(startupPeriod)
 	clear(f.bytes)
 	f.run(10 * time.Second)
 	for _, h := range f.hosts {
-		assert.Assert(t, f.bytes[h] <= 10*messageBytes, "%s sent %d bytes in ten quiet seconds", h, f.bytes[h])
+		assert.Assert(t, f.bytes[h] <= 10*messageHeaderBytes, "%s sent %d bytes in ten seconds without news", h, f.bytes[h])
 	}
 	clear(f.sent)
 	for second := range 10 {
@@ -213,7 +215,7 @@
 			for j := range 16 {
 				contents = append(contents, get(fmt.Sprint("/", second, "/", i, "/", j)))
 			}
-			f.ends(f.hosts[f.random.IntN(size)], contents...)
+			f.crash(f.hosts[f.random.IntN(size)], contents...)
 		}
 		f.run(time.Second)
 		for _, h := range f.hosts {
@@ -227,14 +229,14 @@
 	}
 }
 
-// A fifth of a fleet's servers end at one moment, each with all its slots taken by
-// requests that nobody sent before, and a fatal one on three of them. Their news is many
-// times what nodes may send in a second. The fatal one is known everywhere in time all
-// the same.
-func TestManyEndsAtOnceDoNotHideTheFatalOne(t *testing.T) {
+// TestManyCrashesDoNotHideTheFatalRequest guards against a quarantine that is delayed
+// by other news. A fifth of a fleet's servers crash at once, each with all slots taken
+// by requests that nobody sent before, and a fatal request on three of them. The news
+// exceeds the per-second budget many times over.
+func TestManyCrashesDoNotHideTheFatalRequest(t *testing.T) {
 	const size = 195
 	f := newFleet(size, 0.05)
-	f.run(startFor)
+	f.run(startupPeriod)
 	fatal := get("/fatal")
 	for i := range size / 5 {
 		contents := make([]Content, 0, 17)
@@ -244,46 +246,50 @@
 		if i%13 == 0 {
 			contents = append(contents, fatal)
 		}
-		f.ends(f.hosts[i*5], contents...)
+		f.crash(f.hosts[i*5], contents...)
 	}
-	f.run(contact)
-	assert.DeepEqual(t, f.unaware(fatal), []string(nil))
+	f.run(maxPropagation)
+	assert.DeepEqual(t, f.admitting(fatal), []string(nil))
 }
 
-// A node starts while a request that ended three servers comes again and again. It must
-// not wait for its turn to compare: its server is up a moment after it.
-func TestNodeThatStartsHearsAtOnce(t *testing.T) {
+// TestStartedNodeLearnsAtOnce guards against a started node that runs a request that
+// crashed three servers and is retried again and again, because the node waits for its
+// next regular comparison while its server is already up.
+func TestStartedNodeLearnsAtOnce(t *testing.T) {
 	f := newFleet(20, 0)
 	fatal := get("/fatal")
-	for _, h := range f.hosts[:endsToBar] {
-		f.ends(h, fatal)
+	for _, h := range f.hosts[:quarantineThreshold] {
+		f.crash(h, fatal)
 	}
 	f.run(time.Second)
-	f.begin("h19")
+	f.startNode("h19")
 	f.run(CompareEvery / 4)
-	assert.DeepEqual(t, f.unaware(fatal), []string(nil))
+	assert.DeepEqual(t, f.admitting(fatal), []string(nil))
 }
 
-// A node that was away for a while sees its server end three times under what is
-// answered all the time elsewhere. Those who know that put it right.
-func TestSuspicionWithoutNeedIsPutRight(t *testing.T) {
+// TestUnfoundedSuspicionIsCorrected guards against a lasting quarantine of a popular
+// request. A node that was partitioned sees its server crash three times while running
+// a request that is answered elsewhere all the time. Nodes that know of the answers
+// must correct it.
+func TestUnfoundedSuspicionIsCorrected(t *testing.T) {
 	popular := get("/popular")
 	f := newFleet(2, 0)
 	f.nodes["h0"].Ledger.Learn(0, News{Completions: []Completion{{Key: popular.Exact}, {Key: popular.Alike}}})
-	for range endsToBar {
-		f.ends("h1", popular)
+	for range quarantineThreshold {
+		f.crash("h1", popular)
 	}
-	assert.DeepEqual(t, f.unaware(popular), []string{"h0"})
+	assert.DeepEqual(t, f.admitting(popular), []string{"h0"})
 	f.run(time.Second)
-	assert.DeepEqual(t, f.unaware(popular), []string{"h0", "h1"})
+	assert.DeepEqual(t, f.admitting(popular), []string{"h0", "h1"})
 	assert.Equal(t, f.nodes["h0"].Ledger.Digest(), f.nodes["h1"].Ledger.Digest())
 }
 
-// Messages are cut to fit a datagram, and nothing of them is lost by that.
-func TestNewsIsCutToFit(t *testing.T) {
+// TestNewsIsSplitToFitDatagrams guards against messages that exceed a datagram and
+// against news that is lost when it is split.
+func TestNewsIsSplitToFitDatagrams(t *testing.T) {
 	var news News
 	for i := range 3 {
-		e := ended()
+		e := newEnd()
 		for j := range 100 {
 			e.Contents = append(e.Contents, get(fmt.Sprint(i, j)))
 			e.Paths = append(e.Paths, Key(i*100+j+1))
@@ -293,8 +299,8 @@
 	}
 	whole, again := NewLedger(), NewLedger()
 	whole.Learn(0, news)
-	for _, part := range parts(news) {
-		assert.Assert(t, Message{News: part}.bytes() <= mostBytes)
+	for _, part := range splitNews(news) {
+		assert.Assert(t, Message{News: part}.bytes() <= maxMessageBytes)
 		again.Learn(0, part)
 	}
 	assert.Equal(t, again.Digest(), whole.Digest())
--- a/core/quarantine/ledger.go
+++ b/core/quarantine/ledger.go
@@ -7,197 +7,204 @@
 )
 
 const (
-	// endsToBar is under how many servers a request may end before no other server gets
-	// it. One or two ends befall what merely ran beside the cause.
-	endsToBar = 3
-	// keepEnds is how long an end counts. A request that is kept away is let through
-	// once its ends are that old, and one more end keeps it away again.
-	keepEnds = 10 * time.Minute
-	// clearedBy is how long before an end a request with the same content may have run to
-	// its end to be cleared of it. What servers run all the time is on most of those that
-	// end, and servers may end faster than it is answered anywhere.
-	clearedBy = 30 * time.Second
-	// lastEcho is how much sooner than it is forgotten an end is not learned any more:
-	// nodes that forget it at slightly different times would tell each other for ever.
-	lastEcho = 10 * time.Second
-	// mostEnds bounds the ends that are kept, and mostContents those of one end: more than
-	// servers have slots. Together 1 MB at the most.
-	mostEnds     = 256
-	mostContents = 128
-	// mostCompletions bounds the completions that are kept for ends still to be heard of.
-	mostCompletions = 4096
+	// quarantineThreshold is the number of servers that a request may crash before it
+	// is quarantined. A harmless request may run beside the cause of one or two
+	// crashes.
+	quarantineThreshold = 3
+	// crashRetention is how long a crash counts. A quarantined request is admitted
+	// again once its crashes are that old, and one more crash quarantines it again.
+	crashRetention = 10 * time.Minute
+	// completionWindow is how long before a crash a request with the same content may
+	// have completed to be cleared of that crash. Requests that servers run all the
+	// time are recorded with most crashes, and servers may crash faster than such a
+	// request is answered anywhere.
+	completionWindow = 30 * time.Second
+	// expiryMargin is how long before its expiry a crash is no longer accepted from
+	// other nodes. Nodes that expire it at slightly different times would otherwise
+	// send it to each other forever.
+	expiryMargin = 10 * time.Second
+	// maxCrashes limits the number of recorded crashes, and maxContents the contents of
+	// each, above the number of slots of a server. Together they take at most 1 MB.
+	maxCrashes  = 256
+	maxContents = 128
+	// maxCompletions limits the completions that are kept for crashes not yet known.
+	maxCompletions = 4096
 )
 
-// EndID names one end of one backend server.
+// EndID identifies one crash of one backend server.
 type EndID uint64
 
-// End tells what was running on a backend server when it ended.
+// End describes what was running on a backend server when it crashed.
 type End struct {
 	ID EndID
-	// Age is how long ago that was.
+	// Age is the time since the crash.
 	Age      time.Duration
 	Contents []Content
-	// Paths are those of requests whose bodies were streamed. They tell where bodies
-	// have to be looked at before a server gets them.
+	// Paths are those of requests with streamed bodies. For requests with these paths
+	// the beginning of the body is read before a server gets them.
 	Paths []Key
 }
 
-// Completion tells that a request with this key was answered in whole.
+// Completion records that a request with this key was answered in full.
 type Completion struct {
 	Key Key
-	// Age is how long ago that was.
+	// Age is the time since the answer.
 	Age time.Duration
 }
 
-// News is what ledgers tell each other. It may be told again and in any order.
+// News is the information that ledgers exchange. Applying it repeatedly or in any order
+// gives the same result.
 type News struct {
 	Ends        []End
 	Completions []Completion
 }
 
-// Empty tells whether there is nothing in the news.
+// Empty reports whether the news has no entries.
 func (n News) Empty() bool { return len(n.Ends) == 0 && len(n.Completions) == 0 }
 
-// end is an end with the contents that are not cleared of it.
-type end struct {
+// crash records a crash with the contents that are still suspected of it.
+type crash struct {
 	id       EndID
 	at       time.Duration
 	contents []Content
 	paths    []Key
-	// mark sums them up, and keys are those of the contents, each once; both as of when
-	// conclude last looked. dirty: they are out of date.
-	mark  uint64
+	// hash covers the whole record, and keys holds the distinct keys of its contents.
+	// Both are updated by refresh; dirty is set if they are out of date.
+	hash  uint64
 	keys  []Key
 	dirty bool
 }
 
-// Ledger is what one node knows of servers that ended and of the requests under which
-// they did. All ledgers that heard the same come to the same conclusions, in whatever
-// order they heard it. Time is a duration since any fixed start and must not go back.
+// Ledger records the crashes that one node knows of and the requests suspected of them.
+// All ledgers with the same information derive the same quarantine, regardless of the
+// order in which they received it. Times are durations since an arbitrary fixed start
+// and must not decrease.
 type Ledger struct {
-	// ends are in the order in which they were heard of.
-	ends []*end
-	// completed is when a request with the key was last known to be answered in whole, by
-	// any server; recent remembers what the server beside this node answered.
-	completed map[Key]time.Duration
-	recent    recent
-	// changed: ends have changed since conclude last worked out what follows from them,
-	// which is the rest: on how many ends a key stands, the paths of streamed bodies on
-	// them, until when a key is kept away, and a sum of all ends.
-	changed bool
-	accused map[Key]int
-	paths   map[Key]bool
-	barred  map[Key]time.Duration
-	digest  uint64
+	// crashes is in the order in which they became known.
+	crashes []*crash
+	// completed is the time at which a request with the key was last known to be
+	// answered in full by any server. recentCompletions holds those of this node's own
+	// server.
+	completed         map[Key]time.Duration
+	recentCompletions recentCompletions
+	// changed is set if the crashes have changed since the last call of evaluate, which
+	// derives the fields below: the number of crashes for each key, the paths of
+	// streamed requests, the end of each quarantine, and a hash of all crashes.
+	changed          bool
+	crashCounts      map[Key]int
+	paths            map[Key]bool
+	quarantinedUntil map[Key]time.Duration
+	digest           uint64
 }
 
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
-	return &Ledger{completed: map[Key]time.Duration{}, accused: map[Key]int{}, paths: map[Key]bool{}, barred: map[Key]time.Duration{}}
+	return &Ledger{completed: map[Key]time.Duration{}, crashCounts: map[Key]int{}, paths: map[Key]bool{}, quarantinedUntil: map[Key]time.Duration{}}
 }
 
-// Barred tells for how long requests with the content are kept away from servers; 0 if
-// they are not.
+// Barred returns the remaining quarantine time of a content, or 0 if it is not
+// quarantined.
 func (l *Ledger) Barred(now time.Duration, c Content) time.Duration {
-	if len(l.barred) == 0 {
+	if len(l.quarantinedUntil) == 0 {
 		return 0
 	}
-	return max(0, l.barred[c.Exact]-now, l.barred[c.Alike]-now)
+	return max(0, l.quarantinedUntil[c.Exact]-now, l.quarantinedUntil[c.Alike]-now)
 }
 
-// Suspected tells whether a server ended under a request with this path whose body was
-// streamed.
+// Suspected reports whether a server crashed while running a request with this path and
+// a streamed body.
 func (l *Ledger) Suspected(path Key) bool { return l.paths[path] }
 
-// Ended takes in the end of the server beside this node and returns what others have to
-// know of it.
+// Ended records a crash of this node's server and returns the news for other nodes.
 func (l *Ledger) Ended(now time.Duration, e End) News {
-	spread, _ := l.Learn(now, News{Ends: []End{e}})
-	return spread
+	forward, _ := l.Learn(now, News{Ends: []End{e}})
+	return forward
 }
 
-// Completed takes in that a request was answered in whole by the server beside this
-// node, and returns what others have to know of it: nothing unless somebody suspects it.
+// Completed records that this node's server answered a request in full. It returns the
+// news for other nodes, which is empty unless the content is suspected.
 func (l *Ledger) Completed(now time.Duration, c Content) News {
 	if !c.Known() {
 		return News{}
 	}
 	var news News
 	for _, k := range [...]Key{c.Exact, c.Alike} {
-		l.recent.note(now, k)
-		if l.accused[k] > 0 && l.clear(k, now) {
+		l.recentCompletions.record(now, k)
+		if l.crashCounts[k] > 0 && l.applyCompletion(k, now) {
 			news.Completions = append(news.Completions, Completion{Key: k})
 		}
 	}
-	l.settle(now)
+	l.applyChanges(now)
 	return news
 }
 
-// Learn takes in news. Spread is what was new here and others have to know; correction
-// is what shows that the sender suspects somebody without need.
-func (l *Ledger) Learn(now time.Duration, news News) (spread, correction News) {
+// Learn applies news from another node. It returns the part that was new here and is to
+// be forwarded, and completions that show the sender that a suspicion of its own is
+// unfounded.
+func (l *Ledger) Learn(now time.Duration, news News) (forward, correction News) {
 	for _, c := range news.Completions {
 		if c.Key != 0 && l.learnCompletion(now, c) {
-			spread.Completions = append(spread.Completions, c)
+			forward.Completions = append(forward.Completions, c)
 		}
 	}
 	for _, e := range news.Ends {
-		if e.Age >= keepEnds-lastEcho {
+		if e.Age >= crashRetention-expiryMargin {
 			continue
 		}
-		added, known, found := l.learnEnd(now, e)
+		added, shared, local := l.learnCrash(now, e)
 		if len(added.Contents) > 0 || len(added.Paths) > 0 {
-			spread.Ends = append(spread.Ends, added)
+			forward.Ends = append(forward.Ends, added)
 		}
-		correction.Completions = append(correction.Completions, known...)
-		spread.Completions = append(spread.Completions, found...)
+		correction.Completions = append(correction.Completions, shared...)
+		forward.Completions = append(forward.Completions, local...)
 	}
-	l.settle(now)
-	return spread, correction
+	l.applyChanges(now)
+	return forward, correction
 }
 
-// learnCompletion tells whether the completion is worth passing on: it clears somebody,
-// or may yet. The same one comes round again, each time a little younger by what it
-// spent on its way.
+// learnCompletion reports whether the completion is worth forwarding: it clears a
+// content, or may do so later. A completion that returns through other nodes seems
+// slightly younger each time, because the transit time is not included in its age.
 func (l *Ledger) learnCompletion(now time.Duration, c Completion) bool {
 	heard := now - c.Age
 	at, known := l.completed[c.Key]
-	return l.clear(c.Key, heard) || !known || heard > at+clearedBy/2
+	return l.applyCompletion(c.Key, heard) || !known || heard > at+completionWindow/2
 }
 
-// clear notes a completion and takes its key out of the ends that it clears it of. It
-// reports whether there were any.
-func (l *Ledger) clear(k Key, at time.Duration) (any bool) {
+// applyCompletion records a completion and removes its key from the crashes that it
+// clears the key of. It reports whether there were any.
+func (l *Ledger) applyCompletion(k Key, at time.Duration) (cleared bool) {
 	if known, ok := l.completed[k]; !ok || at > known {
 		l.completed[k] = at
 	}
-	for _, e := range l.ends {
-		if e.at <= at+clearedBy && e.has(k) {
-			e.contents = without(e.contents, k)
-			e.dirty, any, l.changed = true, true, true
+	for _, e := range l.crashes {
+		if e.at <= at+completionWindow && e.hasKey(k) {
+			e.contents = removeKey(e.contents, k)
+			e.dirty, cleared, l.changed = true, true, true
 		}
 	}
-	return any
+	return cleared
 }
 
-func (e *end) has(k Key) bool {
+func (e *crash) hasKey(k Key) bool {
 	return slices.ContainsFunc(e.contents, func(c Content) bool { return c.Exact == k || c.Alike == k })
 }
 
-// without leaves a key out of contents. A content whose narrower key is cleared is not
-// suspected at all; one whose wider key is cleared may be suspected by the narrower.
-func without(contents []Content, k Key) []Content {
+// removeKey removes a key from contents. A content whose Exact key is cleared is not
+// suspected at all; one whose Alike key is cleared may still be suspected by its Exact
+// key.
+func removeKey(contents []Content, k Key) []Content {
 	kept := contents[:0]
 	for _, c := range contents {
-		if c = cleared(c, k); c.Known() {
+		if c = withoutKey(c, k); c.Known() {
 			kept = append(kept, c)
 		}
 	}
 	return kept
 }
 
-// cleared is the content without a key that is cleared.
-func cleared(c Content, k Key) Content {
+// withoutKey returns the content without a cleared key.
+func withoutKey(c Content, k Key) Content {
 	switch k {
 	case c.Exact:
 		return Content{}
@@ -207,13 +214,14 @@
 	return c
 }
 
-// learnEnd takes in an end; a part of one that is known adds to it. Known are the
-// completions that clear its contents, found those of them which others do not know.
-func (l *Ledger) learnEnd(now time.Duration, e End) (added End, known, found []Completion) {
-	held := l.end(e.ID)
+// learnCrash records a crash, or adds to it if parts of it are known already. shared
+// holds the completions that clear contents of the crash and are known to other nodes,
+// and local those that only this node knows of.
+func (l *Ledger) learnCrash(now time.Duration, e End) (added End, shared, local []Completion) {
+	held := l.crash(e.ID)
 	isNew := held == nil
 	if isNew {
-		held = &end{id: e.ID, at: now - e.Age}
+		held = &crash{id: e.ID, at: now - e.Age}
 	}
 	added = End{ID: e.ID, Age: e.Age}
 	for _, c := range e.Contents {
@@ -221,18 +229,18 @@
 			if k == 0 {
 				continue
 			}
-			at, unheard, ok := l.completion(k, held.at)
+			at, localOnly, ok := l.completion(k, held.at)
 			switch {
 			case !ok:
 				continue
-			case unheard:
-				found = append(found, Completion{Key: k, Age: now - at})
+			case localOnly:
+				local = append(local, Completion{Key: k, Age: now - at})
 			default:
-				known = append(known, Completion{Key: k, Age: now - at})
+				shared = append(shared, Completion{Key: k, Age: now - at})
 			}
-			c = cleared(c, k)
+			c = withoutKey(c, k)
 		}
-		if c.Known() && !held.has(c.Exact) {
+		if c.Known() && !held.hasKey(c.Exact) {
 			added.Contents = append(added.Contents, c)
 		}
 	}
@@ -242,34 +250,34 @@
 		}
 	}
 	if len(added.Contents) == 0 && len(added.Paths) == 0 {
-		return added, known, found
+		return added, shared, local
 	}
 	if isNew {
-		l.ends = append(l.ends, held)
+		l.crashes = append(l.crashes, held)
 	}
-	held.contents = atMost(append(held.contents, added.Contents...), mostContents)
-	held.paths = atMost(append(held.paths, added.Paths...), mostContents)
+	held.contents = truncate(append(held.contents, added.Contents...), maxContents)
+	held.paths = truncate(append(held.paths, added.Paths...), maxContents)
 	held.dirty, l.changed = true, true
-	return added, known, found
+	return added, shared, local
 }
 
-func atMost[T any](list []T, most int) []T { return list[:min(len(list), most)] }
+func truncate[T any](list []T, limit int) []T { return list[:min(len(list), limit)] }
 
-// completion is one that clears a key of an end at that time; unheard tells that only
-// this node knew of it.
-func (l *Ledger) completion(k Key, end time.Duration) (at time.Duration, unheard, ok bool) {
-	if at, ok := l.completed[k]; ok && end <= at+clearedBy {
+// completion returns the time of a completion that clears a key of a crash at the given
+// time. localOnly is set if only this node knew of it.
+func (l *Ledger) completion(k Key, crashedAt time.Duration) (at time.Duration, localOnly, ok bool) {
+	if at, ok := l.completed[k]; ok && crashedAt <= at+completionWindow {
 		return at, false, true
 	}
-	if at, ok := l.recent.last(k); ok && end <= at+clearedBy {
-		l.clear(k, at)
+	if at, ok := l.recentCompletions.last(k); ok && crashedAt <= at+completionWindow {
+		l.applyCompletion(k, at)
 		return at, true, true
 	}
 	return 0, false, false
 }
 
-func (l *Ledger) end(id EndID) *end {
-	for _, e := range l.ends {
+func (l *Ledger) crash(id EndID) *crash {
+	for _, e := range l.crashes {
 		if e.id == id {
 			return e
 		}
@@ -277,20 +285,20 @@
 	return nil
 }
 
-// Tick forgets what is old.
+// Tick removes expired records.
 func (l *Ledger) Tick(now time.Duration) {
-	before := len(l.ends)
-	l.ends = slices.DeleteFunc(l.ends, func(e *end) bool { return now-e.at >= keepEnds })
-	l.changed = l.changed || before != len(l.ends)
-	maps.DeleteFunc(l.completed, func(_ Key, at time.Duration) bool { return now-at >= keepEnds })
-	l.settle(now)
+	before := len(l.crashes)
+	l.crashes = slices.DeleteFunc(l.crashes, func(e *crash) bool { return now-e.at >= crashRetention })
+	l.changed = l.changed || before != len(l.crashes)
+	maps.DeleteFunc(l.completed, func(_ Key, at time.Duration) bool { return now-at >= crashRetention })
+	l.applyChanges(now)
 }
 
-// settle works out what follows from what has changed, and drops what nothing follows
-// from or is too much.
-func (l *Ledger) settle(now time.Duration) {
+// applyChanges enforces the limits, removes crashes without suspects and, after
+// changes, derives the quarantine anew.
+func (l *Ledger) applyChanges(now time.Duration) {
 	for k := range l.completed {
-		if len(l.completed) <= mostCompletions {
+		if len(l.completed) <= maxCompletions {
 			break
 		}
 		delete(l.completed, k)
@@ -298,34 +306,34 @@
 	if !l.changed {
 		return
 	}
-	l.ends = slices.DeleteFunc(l.ends, func(e *end) bool { return len(e.contents) == 0 && len(e.paths) == 0 })
-	l.ends = l.ends[max(0, len(l.ends)-mostEnds):]
-	l.conclude(now)
+	l.crashes = slices.DeleteFunc(l.crashes, func(e *crash) bool { return len(e.contents) == 0 && len(e.paths) == 0 })
+	l.crashes = l.crashes[max(0, len(l.crashes)-maxCrashes):]
+	l.evaluate(now)
 	l.changed = false
 }
 
-// Held are the ends that the ledger holds and whose marks are wanted.
-func (l *Ledger) Held(now time.Duration, wanted func(mark uint64) bool) []End {
+// Held returns the recorded crashes whose hashes are wanted.
+func (l *Ledger) Held(now time.Duration, wanted func(hash uint64) bool) []End {
 	var list []End
-	for _, e := range l.ends {
-		if wanted(e.mark) {
+	for _, e := range l.crashes {
+		if wanted(e.hash) {
 			list = append(list, End{ID: e.id, Age: now - e.at, Contents: slices.Clone(e.contents), Paths: slices.Clone(e.paths)})
 		}
 	}
 	return list
 }
 
-// marks are those of all ends, in order. A mark is equal for ends of which two ledgers
-// hold the same.
-func (l *Ledger) marks() []uint64 {
-	list := make([]uint64, 0, len(l.ends))
-	for _, e := range l.ends {
-		list = append(list, e.mark)
+// hashes returns the sorted hashes of all crashes. Two ledgers have equal hashes for a
+// crash if they record the same contents and paths for it.
+func (l *Ledger) hashes() []uint64 {
+	list := make([]uint64, 0, len(l.crashes))
+	for _, e := range l.crashes {
+		list = append(list, e.hash)
 	}
 	slices.Sort(list)
 	return list
 }
 
-// Digest is equal for ledgers that suspect the same for the same ends. It is 0 for
-// those that suspect nobody.
+// Digest returns a hash of the ledger, which is equal for ledgers that suspect the same
+// contents of the same crashes. It is 0 for ledgers without suspects.
 func (l *Ledger) Digest() uint64 { return l.digest }
--- a/core/quarantine/ledger_test.go
+++ b/core/quarantine/ledger_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// get is the content of a GET without a body.
-func get(uri string) Content { return from("shop", uri) }
+// get returns the content of a GET request without a body.
+func get(uri string) Content { return getFrom("shop", uri) }
 
-func from(caller, uri string) Content {
+func getFrom(caller, uri string) Content {
 	return ContentOf(Target{Method: "GET", Host: "h", URI: uri, Caller: caller}, SumOf(nil))
 }
 
@@ -20,58 +20,59 @@
 	return ContentOf(Target{Method: "PUT", Host: "h", URI: uri, Caller: "shop"}, SumOf([]byte(body)))
 }
 
-var nextEnd EndID
+var nextEndID EndID
 
-func ended(contents ...Content) End {
-	nextEnd++
-	return End{ID: nextEnd, Contents: contents}
+func newEnd(contents ...Content) End {
+	nextEndID++
+	return End{ID: nextEndID, Contents: contents}
 }
 
-// A caller sees one service after the other refuse. Its request crashes each server
-// that runs it and comes again under a new id. From the third end on no server gets
-// it; the same path with another body is served.
-func TestThirdEndBars(t *testing.T) {
+// TestThirdCrashQuarantines guards against a retried request that crashes one server
+// after the other under new ids. It must be quarantined from the third crash on, and
+// the same path with another body must still be served.
+func TestThirdCrashQuarantines(t *testing.T) {
 	l := NewLedger()
 	fatal := put("/list", "kill")
-	for i := range endsToBar {
-		assert.Equal(t, l.Barred(time.Second, fatal), time.Duration(0), "before end %d", i+1)
-		l.Ended(time.Second, ended(fatal))
+	for i := range quarantineThreshold {
+		assert.Equal(t, l.Barred(time.Second, fatal), time.Duration(0), "before crash %d", i+1)
+		l.Ended(time.Second, newEnd(fatal))
 	}
-	assert.Equal(t, l.Barred(2*time.Second, fatal), keepEnds-time.Second)
+	assert.Equal(t, l.Barred(2*time.Second, fatal), crashRetention-time.Second)
 	assert.Equal(t, l.Barred(2*time.Second, put("/list", "keep")), time.Duration(0))
 	assert.Equal(t, l.Barred(2*time.Second, Content{}), time.Duration(0))
 }
 
-// A request that is kept away is let through once its ends are old, since whatever
-// crashed under it may have been mended. If not, one more end is enough.
-func TestBarIsLiftedAndOneEndRenewsIt(t *testing.T) {
+// TestQuarantineExpiresAndOneCrashRenewsIt guards against a quarantine that never ends,
+// since the fault may have been fixed, and against one that takes three more crashes to
+// return.
+func TestQuarantineExpiresAndOneCrashRenewsIt(t *testing.T) {
 	l := NewLedger()
 	fatal := get("/fatal")
-	for i := range endsToBar {
-		l.Ended(time.Duration(i)*time.Minute, ended(fatal))
+	for i := range quarantineThreshold {
+		l.Ended(time.Duration(i)*time.Minute, newEnd(fatal))
 	}
-	assert.Assert(t, l.Barred(keepEnds-1, fatal) > 0)
-	now := keepEnds + time.Second
+	assert.Assert(t, l.Barred(crashRetention-1, fatal) > 0)
+	now := crashRetention + time.Second
 	l.Tick(now)
 	assert.Equal(t, l.Barred(now, fatal), time.Duration(0))
-	l.Ended(now, ended(fatal))
+	l.Ended(now, newEnd(fatal))
 	assert.Assert(t, l.Barred(now, fatal) > 0)
 }
 
-// What servers run all the time is on each of those that end. A caller of such a
-// request must be served: it was answered elsewhere a moment before, on a host whose
-// ledger remembers that.
-func TestPopularRequestIsCleared(t *testing.T) {
+// TestPopularRequestIsNotQuarantined guards against the quarantine of a request that
+// servers run all the time and that is therefore recorded with every crash. It was
+// answered shortly before on another host, whose ledger remembers the answer.
+func TestPopularRequestIsNotQuarantined(t *testing.T) {
 	here, elsewhere := NewLedger(), NewLedger()
 	popular, fatal := get("/popular"), get("/fatal")
-	assert.Assert(t, elsewhere.Completed(time.Second, popular).Empty(), "nobody suspects it yet")
-	for range endsToBar {
-		news := here.Ended(2*time.Second, ended(popular, fatal))
-		spread, _ := elsewhere.Learn(2*time.Second, news)
-		for _, e := range spread.Ends {
+	assert.Assert(t, elsewhere.Completed(time.Second, popular).Empty(), "the content is not suspected yet")
+	for range quarantineThreshold {
+		news := here.Ended(2*time.Second, newEnd(popular, fatal))
+		forward, _ := elsewhere.Learn(2*time.Second, news)
+		for _, e := range forward.Ends {
 			assert.DeepEqual(t, e.Contents, []Content{fatal})
 		}
-		here.Learn(2*time.Second, spread)
+		here.Learn(2*time.Second, forward)
 	}
 	for _, l := range []*Ledger{here, elsewhere} {
 		assert.Equal(t, l.Barred(2*time.Second, popular), time.Duration(0))
@@ -80,111 +81,117 @@
 	}
 }
 
-// A rare request ran on three servers that ended, and was answered at last by one that
-// had it already. It is served again everywhere.
-func TestLaterAnswerClears(t *testing.T) {
+// TestLaterAnswerEndsQuarantine guards against the lasting quarantine of a rare request
+// that ran on three crashed servers. When a server that already had it answers it, it
+// must be served again on all nodes.
+func TestLaterAnswerEndsQuarantine(t *testing.T) {
 	l, other := NewLedger(), NewLedger()
 	rare := get("/rare")
-	for range endsToBar {
-		other.Learn(0, l.Ended(0, ended(rare)))
+	for range quarantineThreshold {
+		other.Learn(0, l.Ended(0, newEnd(rare)))
 	}
 	assert.Assert(t, other.Barred(0, rare) > 0)
 	news := l.Completed(time.Second, rare)
 	assert.Equal(t, l.Barred(time.Second, rare), time.Duration(0))
 	other.Learn(time.Second, news)
 	assert.Equal(t, other.Barred(time.Second, rare), time.Duration(0))
-	assert.Assert(t, l.Completed(2*time.Second, rare).Empty(), "nobody suspects it any more")
+	assert.Assert(t, l.Completed(2*time.Second, rare).Empty(), "the content is not suspected any more")
 }
 
-// A request that was answered for long and then begins to crash servers is kept away
-// all the same.
-func TestOldAnswerDoesNotClear(t *testing.T) {
+// TestOldAnswerDoesNotPreventQuarantine guards against serving a request that was
+// answered for a long time and then starts to crash servers.
+func TestOldAnswerDoesNotPreventQuarantine(t *testing.T) {
 	l := NewLedger()
-	turned := get("/turned")
-	l.Completed(0, turned)
-	for range endsToBar {
-		l.Ended(clearedBy+time.Second, ended(turned))
+	fatal := get("/turned")
+	l.Completed(0, fatal)
+	for range quarantineThreshold {
+		l.Ended(completionWindow+time.Second, newEnd(fatal))
 	}
-	assert.Assert(t, l.Barred(clearedBy+time.Second, turned) > 0)
+	assert.Assert(t, l.Barred(completionWindow+time.Second, fatal) > 0)
 }
 
-// A node that hears late of an end knows of the answer that clears its contents: who
-// told it of the end is put right, and need not go on suspecting them.
-func TestSenderIsPutRight(t *testing.T) {
+// TestSenderIsCorrected guards against a lasting suspicion on a node that learns late
+// of a crash or missed the answer that clears its contents. The node that knows of the
+// answer must send it.
+func TestSenderIsCorrected(t *testing.T) {
 	l, late := NewLedger(), NewLedger()
 	popular := get("/popular")
 	l.Learn(0, News{Completions: []Completion{{Key: popular.Exact}, {Key: popular.Alike}}})
-	late.Ended(0, ended(popular))
-	spread, correction := l.Learn(0, News{Ends: late.Held(0, func(uint64) bool { return true })})
-	assert.Assert(t, spread.Empty())
+	late.Ended(0, newEnd(popular))
+	forward, correction := l.Learn(0, News{Ends: late.Held(0, func(uint64) bool { return true })})
+	assert.Assert(t, forward.Empty())
 	late.Learn(0, correction)
 	assert.Equal(t, late.Digest(), l.Digest())
 }
 
-// The caller adds another query each time, or its requests come through hosts of other
-// services. That they are one request shows once two of them have ended servers. As
-// long as it is the same each time, those with another query are not blamed for it.
+// TestVaryingRequestIsRecognised guards against a request that evades the quarantine
+// with another query for each retry, or through hosts of other services. It is
+// recognised once two of its variants have crashed servers. As long as the request is
+// the same each time, variants of it must be served.
 func TestVaryingRequestIsRecognised(t *testing.T) {
 	for _, c := range []struct {
-		desc  string
-		ends  []Content
-		other Content
-		bars  bool
+		desc        string
+		ends        []Content
+		other       Content
+		quarantined bool
 	}{
 		{"another query each time", []Content{get("/a?1"), get("/a?2"), get("/a")}, get("/a?4"), true},
-		{"through other hosts", []Content{from("x", "/a"), from("y", "/a"), from("x", "/a")}, from("z", "/a"), true},
+		{"through other hosts", []Content{getFrom("x", "/a"), getFrom("y", "/a"), getFrom("x", "/a")}, getFrom("z", "/a"), true},
 		{"the same each time", []Content{get("/a?1"), get("/a?1"), get("/a?1")}, get("/a?2"), false},
 		{"another path each time", []Content{get("/a"), get("/b"), get("/c")}, get("/d"), false},
 	} {
 		t.Run(c.desc, func(t *testing.T) {
 			l := NewLedger()
 			for _, content := range c.ends {
-				l.Ended(0, ended(content))
+				l.Ended(0, newEnd(content))
 			}
-			assert.Equal(t, l.Barred(0, c.other) > 0, c.bars)
+			assert.Equal(t, l.Barred(0, c.other) > 0, c.quarantined)
 		})
 	}
 }
 
-// Answers to others like it do not clear a request that is the same each time.
-func TestAnswersToOthersLikeItDoNotClear(t *testing.T) {
+// TestAnswersToSimilarRequestsDoNotPreventQuarantine guards against clearing a request
+// that is the same each time by answers to similar requests.
+func TestAnswersToSimilarRequestsDoNotPreventQuarantine(t *testing.T) {
 	l := NewLedger()
-	for range endsToBar {
-		l.Completed(0, from("y", "/a"))
-		l.Ended(0, ended(from("x", "/a")))
+	for range quarantineThreshold {
+		l.Completed(0, getFrom("y", "/a"))
+		l.Ended(0, newEnd(getFrom("x", "/a")))
 	}
-	assert.Assert(t, l.Barred(0, from("x", "/a")) > 0)
-	assert.Equal(t, l.Barred(0, from("y", "/a")), time.Duration(0))
+	assert.Assert(t, l.Barred(0, getFrom("x", "/a")) > 0)
+	assert.Equal(t, l.Barred(0, getFrom("y", "/a")), time.Duration(0))
 }
 
-// A request that merely was on servers beside one that stands on more ends is its
-// company. If it ends servers by itself, the next end tells.
-func TestCompanyIsNotBlamed(t *testing.T) {
+// TestRequestBesideTheCauseIsNotQuarantined guards against the quarantine of a request
+// that merely ran beside one that is recorded with more crashes. If it also crashes a
+// server by itself, the next crash must quarantine it.
+func TestRequestBesideTheCauseIsNotQuarantined(t *testing.T) {
 	l := NewLedger()
-	fatal, company := get("/fatal"), get("/company")
-	l.Ended(0, ended(fatal))
-	for range endsToBar {
-		l.Ended(0, ended(fatal, company))
+	fatal, harmless := get("/fatal"), get("/company")
+	l.Ended(0, newEnd(fatal))
+	for range quarantineThreshold {
+		l.Ended(0, newEnd(fatal, harmless))
 	}
 	assert.Assert(t, l.Barred(0, fatal) > 0)
-	assert.Equal(t, l.Barred(0, company), time.Duration(0))
-	l.Ended(0, ended(company))
-	assert.Assert(t, l.Barred(0, company) > 0)
+	assert.Equal(t, l.Barred(0, harmless), time.Duration(0))
+	l.Ended(0, newEnd(harmless))
+	assert.Assert(t, l.Barred(0, harmless) > 0)
 }
 
-// Two fatal requests come at once and end the same servers. Both are kept away.
-func TestTwoAtOnceAreBothKeptAway(t *testing.T) {
+// TestTwoSimultaneousCausesAreQuarantined guards against overlooking two fatal requests
+// that crash the same servers.
+func TestTwoSimultaneousCausesAreQuarantined(t *testing.T) {
 	l := NewLedger()
 	one, two := get("/one"), put("/two", "kill")
-	for range endsToBar {
-		l.Ended(0, ended(one, two))
+	for range quarantineThreshold {
+		l.Ended(0, newEnd(one, two))
 	}
 	assert.Assert(t, l.Barred(0, one) > 0)
 	assert.Assert(t, l.Barred(0, two) > 0)
 }
 
-// Streamed bodies have to be looked at where one ended a server, whatever else was
-// answered on that path since.
+// TestPathStaysSuspected guards against streaming a body unread to a server where such
+// a body has crashed one, whatever else was answered on that path since.
 func TestPathStaysSuspected(t *testing.T) {
 	l := NewLedger()
 	path := PathOf(Target{Method: "POST", Host: "h", URI: "/up?x"})
@@ -195,10 +202,10 @@
 	assert.Assert(t, l.Digest() != 0)
 }
 
-// Whatever is heard in whatever order, twice or cut in pieces: ledgers that heard the
-// same keep the same requests away.
+// TestOrderDoesNotMatter guards against ledgers that derive different quarantines from
+// the same news, received in another order, twice or in parts.
 func TestOrderDoesNotMatter(t *testing.T) {
-	contents := []Content{get("/a?1"), get("/a?2"), get("/b"), put("/c", "1"), put("/c", "2"), from("other", "/a?1")}
+	contents := []Content{get("/a?1"), get("/a?2"), get("/b"), put("/c", "1"), put("/c", "2"), getFrom("other", "/a?1")}
 	rapid.Check(t, func(t *rapid.T) {
 		var news []News
 		for id := range rapid.IntRange(1, 8).Draw(t, "ends") {
@@ -220,18 +227,18 @@
 		for _, n := range rapid.Permutation(append(news, news[0])).Draw(t, "order") {
 			two.Learn(now, n)
 		}
-		assert.Equal(t, fmt.Sprint(one.barred), fmt.Sprint(two.barred))
+		assert.Equal(t, fmt.Sprint(one.quarantinedUntil), fmt.Sprint(two.quarantinedUntil))
 		assert.Equal(t, one.Digest(), two.Digest())
 	})
 }
 
-// However much is told, what a ledger holds is bounded.
+// TestLedgerIsBounded guards against unlimited memory use.
 func TestLedgerIsBounded(t *testing.T) {
 	l := NewLedger()
-	for i := range 3 * mostCompletions {
+	for i := range 3 * maxCompletions {
 		c := get(fmt.Sprint("/", i))
-		l.Learn(0, News{Ends: []End{ended(c)}, Completions: []Completion{{Key: Key(i + 1)}}})
+		l.Learn(0, News{Ends: []End{newEnd(c)}, Completions: []Completion{{Key: Key(i + 1)}}})
 	}
-	assert.Assert(t, len(l.ends) <= mostEnds)
-	assert.Assert(t, len(l.completed) <= mostCompletions)
+	assert.Assert(t, len(l.crashes) <= maxCrashes)
+	assert.Assert(t, len(l.completed) <= maxCompletions)
 }
--- a/core/quarantine/recent.go
+++ b/core/quarantine/recent.go
@@ -3,37 +3,38 @@
 import "time"
 
 const (
-	// recentSlots is for how many contents a node remembers their last complete answer,
-	// in 64 KB: those of a minute at a busy server. One that comes often is noted again
-	// each time, whoever took its place meanwhile.
-	recentSlots = 4096
-	recentUnit  = time.Millisecond
+	// maxRecentCompletions is the number of contents whose last completion a node
+	// remembers, in 64 KB: those of about a minute at a busy server. A frequent content
+	// is recorded again each time, even if another one has replaced it meanwhile.
+	maxRecentCompletions = 4096
+	recentResolution     = time.Millisecond
 )
 
-// recent remembers which contents ran to their end on this host lately.
-type recent struct {
-	slots []completedAt
+// recentCompletions remembers which contents completed on this host lately. Contents
+// with the same remainder of their keys replace each other.
+type recentCompletions struct {
+	entries []recentEntry
 }
 
-type completedAt struct {
+type recentEntry struct {
 	key Key
-	// at is in recentUnits, plus one: 0 is an empty slot.
+	// at is in units of recentResolution, plus one: 0 marks an empty entry.
 	at uint64
 }
 
-// note takes in a completion now.
-func (r *recent) note(now time.Duration, k Key) {
-	if r.slots == nil {
-		r.slots = make([]completedAt, recentSlots)
+// record notes a completion at the given time.
+func (r *recentCompletions) record(now time.Duration, k Key) {
+	if r.entries == nil {
+		r.entries = make([]recentEntry, maxRecentCompletions)
 	}
-	r.slots[k%recentSlots] = completedAt{key: k, at: uint64(now/recentUnit) + 1}
+	r.entries[k%maxRecentCompletions] = recentEntry{key: k, at: uint64(now/recentResolution) + 1}
 }
 
-// last is when the content last ran to its end, if that is remembered.
-func (r *recent) last(k Key) (at time.Duration, ok bool) {
-	if r.slots == nil {
+// last returns the time at which the content last completed, if it is remembered.
+func (r *recentCompletions) last(k Key) (at time.Duration, ok bool) {
+	if r.entries == nil {
 		return 0, false
 	}
-	s := r.slots[k%recentSlots]
-	return time.Duration(s.at-1) * recentUnit, s.at > 0 && s.key == k
+	entry := r.entries[k%maxRecentCompletions]
+	return time.Duration(entry.at-1) * recentResolution, entry.at > 0 && entry.key == k
 }
