--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -1,8 +1,8 @@
-// Package retry decides what follows when an attempt ends without an answer.
-// Only what surely did not run, or is idempotent, is tried again, and only
-// under a budget, so that retries cannot multiply a failure.
+// Package retry decides what to do after an attempt ended without an answer. Only
+// attempts that certainly did not run, or idempotent requests, are retried, and only
+// within a budget, so that retries cannot amplify a failure.
 //
-// Types here are pure and not safe for concurrent use.
+// The types do no I/O and are not safe for concurrent use.
 package retry
 
 import (
@@ -10,87 +10,90 @@
 	"time"
 )
 
-// Ended tells how an attempt ended.
+// Ended is the result of an attempt.
 type Ended int
 
-// Ends of an attempt.
+// Results of an attempt.
 const (
-	// Answered: the backend server's answer arrived; it is final whatever its
-	// status. Layers above retry nothing either, so a failure 22 layers deep
-	// costs one set of retries and not one per layer.
+	// Answered: the backend server answered. The answer is final whatever its status.
+	// The layers above do not retry it either, so a failure 22 layers deep costs one
+	// set of retries instead of one per layer.
 	Answered Ended = iota
-	// Moved: the gate names a sibling that will take the request.
+	// Moved: the gate named a sibling that will take the request.
 	Moved
-	// Restarted: the endpoint's node restarted since its entry was read; the
-	// request did not run and may go to the node's new incarnation.
+	// Restarted: the endpoint's node has restarted since its directory entry was read.
+	// The request did not run and may be sent to the node's new incarnation.
 	Restarted
-	// NotRunAnywhere: the gate refused it and knows that its siblings are as
-	// full. Another attempt would add load and find the same.
+	// NotRunAnywhere: the gate refused the request and knows that its siblings have no
+	// capacity either. Another attempt would add load and be refused as well.
 	NotRunAnywhere
-	// Leaving: the gate refused it since its server is draining. That says nothing
-	// of load, and happens once for each request in flight; it costs no budget, or
-	// a planned stop could use up the budget and fail the requests it moves.
+	// Leaving: the gate refused the request because its server is draining. This says
+	// nothing about load and happens once for each request in flight. It does not use
+	// the budget, since a planned stop could otherwise exhaust the budget and fail the
+	// requests that it moves.
 	Leaving
-	// Unreached: no connection could be made, to the endpoint's node or from there to
-	// its backend server. Nothing was sent, so that another attempt repeats nothing;
-	// it costs no budget, or one slow link would fail requests that every other
-	// endpoint could serve, while rejections elsewhere have used the budget up.
+	// Unreached: no connection could be made to the endpoint's node, or from there to
+	// its backend server. Nothing was sent, so another attempt duplicates nothing. It
+	// does not use the budget: otherwise, after rejections elsewhere have exhausted the
+	// budget, one slow link would fail requests that every other endpoint could serve.
 	Unreached
-	// NotRun: the gate refused it, or a revoke established that it never started.
-	// It did not reach a backend server.
+	// NotRun: the gate refused the request, or a revoke established that it never
+	// started. It did not reach a backend server.
 	NotRun
-	// Rejected: the backend server itself said that it did not run it.
+	// Rejected: the backend server reported that it did not run the request.
 	Rejected
-	// Lost: it was sent and what became of it is not known.
+	// Lost: the request was sent and its outcome is unknown.
 	Lost
 )
 
-// Action is what to do next.
+// Action is the next step for a request.
 type Action int
 
 // Actions.
 const (
-	// Deliver the answer.
+	// Deliver passes the answer on to the caller.
 	Deliver Action = iota
-	// TryNamed sends it to the sibling that the gate named, or once more to the
+	// TryNamed sends the request to the sibling that the gate named, or again to the
 	// same endpoint after its node restarted.
 	TryNamed
-	// TryOther sends it to another endpoint.
+	// TryOther sends the request to another endpoint.
 	TryOther
-	// GiveUpNotRun tells the caller that it did not run.
+	// GiveUpNotRun tells the caller that the request did not run.
 	GiveUpNotRun
-	// GiveUpUnknown tells the caller that it may have run.
+	// GiveUpUnknown tells the caller that the request may have run.
 	GiveUpUnknown
 )
 
-// maxMoves bounds how often gates may move one request. The second move lets a
-// request leave a sibling that turned slow while it travelled; more would let gates
-// pass it round.
+// maxMoves limits how often gates may move one request. The second move lets a request
+// leave a sibling that became slow while it was in transit; more would let gates pass a
+// request in circles.
 const maxMoves = 2
 
-// leastTries is how many gates a request may be sent to, whatever MaxAttempts
-// says, as long as none of them passed it on: refused at a gate it has cost its
-// backend server nothing, and a planned stop refuses a request wherever it was sent.
-const leastTries = 3
+// minGateAttempts is the number of gates to which a request may be sent even if
+// MaxAttempts is lower, as long as no gate passed it on to its server. A refusal by a
+// gate costs its backend server nothing, and a planned stop refuses a request wherever
+// it was sent.
+const minGateAttempts = 3
 
-// Request follows one request through its attempts.
+// Request tracks the attempts of one request.
 type Request struct {
 	Idempotent bool
-	// MaxAttempts is how many backend servers the request may reach.
+	// MaxAttempts is the number of backend servers that the request may reach.
 	MaxAttempts int
-	// attempts counts all but moves, reached those that may have come to a server.
+	// attempts counts all attempts except moves; reached counts those that may have
+	// reached a server.
 	attempts int
 	reached  int
 	moves    int
-	// unknown: an earlier attempt of this idempotent request may have run.
-	unknown bool
+	// mayHaveRun is set if an earlier attempt of this idempotent request may have run.
+	mayHaveRun bool
 }
 
-// Movable tells whether a gate may still move the request.
+// Movable reports whether a gate may still move the request.
 func (r *Request) Movable() bool { return r.moves < maxMoves }
 
-// Next decides after an attempt. OthersLeft tells whether an endpoint exists
-// that was not tried, or is worth trying again.
+// Next returns the action after an attempt. othersLeft is set if there is an endpoint
+// that was not tried or is worth trying again.
 func (r *Request) Next(ended Ended, budget *Budget, othersLeft bool) Action {
 	r.attempts++
 	switch ended {
@@ -112,9 +115,9 @@
 		if !r.Idempotent {
 			return GiveUpUnknown
 		}
-		r.unknown = true
+		r.mayHaveRun = true
 	}
-	if r.reached >= r.MaxAttempts || r.attempts >= max(r.MaxAttempts, leastTries) || !othersLeft {
+	if r.reached >= r.MaxAttempts || r.attempts >= max(r.MaxAttempts, minGateAttempts) || !othersLeft {
 		return r.GiveUp()
 	}
 	if ended != Leaving && ended != Unreached && !budget.Take() {
@@ -123,8 +126,8 @@
 	return TryOther
 }
 
-// Hedge tells whether a second attempt may run beside the first, for an
-// idempotent request whose server turned slow under it.
+// Hedge reports whether a second attempt may run in parallel with the first, for an
+// idempotent request whose server became slow while running it.
 func (r *Request) Hedge(budget *Budget) bool {
 	if !r.Idempotent || r.reached+1 >= r.MaxAttempts || !budget.Take() {
 		return false
@@ -133,90 +136,94 @@
 	return true
 }
 
-// GiveUp tells how a request ends that is not tried again. It is truthful about
-// earlier attempts: one that may have run makes the whole request's outcome
-// unknown, however the last attempt ended.
+// GiveUp returns the action for a request that is not retried. It accounts for earlier
+// attempts: if one of them may have run, the outcome of the request is unknown, however
+// the last attempt ended.
 func (r *Request) GiveUp() Action {
-	if r.unknown {
+	if r.mayHaveRun {
 		return GiveUpUnknown
 	}
 	return GiveUpNotRun
 }
 
-// Budget allows retries in proportion to calls, so that a quiet hour does not pay
-// for a storm.
+// Budget limits retries to a proportion of calls. What calls earn is capped, so that a
+// quiet hour does not pay for a retry storm.
 type Budget struct {
 	perMille int
-	// earned is what calls earned, at most most.
-	earned, most float64
-	// slack is what time earned, at most slackMost; slackRate is what a second brings.
-	slack, slackMost, slackRate float64
-	// keep is how long what calls earned may be saved up; 0 means for ever.
-	keep time.Duration
+	// earned is the number of retries earned by calls, at most earnedLimit.
+	earned, earnedLimit float64
+	// slack is the number of retries earned by time, at most slackLimit. slackRate is
+	// its increase per second.
+	slack, slackLimit, slackRate float64
+	// earnedDecay is the time constant with which earned retries decay; 0 means no
+	// decay.
+	earnedDecay time.Duration
 	// Refused counts retries that the budget did not allow.
 	Refused uint64
 }
 
 const (
-	// perCall is what one per mille of a call is worth, in retries.
-	perCall = 1.0 / 1000
-	// reserve is how many retries may be saved up, unless SetShare says otherwise.
-	reserve = 10
+	// perMilleUnit converts a number per mille to retries per call.
+	perMilleUnit = 1.0 / 1000
+	// defaultEarnedLimit is the number of retries that may be saved up unless SetShare
+	// sets another limit.
+	defaultEarnedLimit = 10
 )
 
-// NewBudget returns a budget of retries per thousand calls.
+// NewBudget returns a budget of perMille retries per thousand calls.
 func NewBudget(perMille int) *Budget {
-	return &Budget{perMille: perMille, earned: reserve, most: reserve}
+	return &Budget{perMille: perMille, earned: defaultEarnedLimit, earnedLimit: defaultEarnedLimit}
 }
 
-// Set changes the ratio.
+// Set changes the number of retries per thousand calls.
 func (b *Budget) Set(perMille int) { b.perMille = perMille }
 
 const (
-	// shareMargin keeps a part of a budget that is shared by all nodes unspent: what
-	// was saved up before a window, and nodes that others have not heard of yet.
+	// shareMargin leaves a part of a budget that all nodes share unused. It covers
+	// retries saved up before a window, and nodes that the others do not know of yet.
 	shareMargin = 0.8
-	// keepParts is how much of a window what calls earned is kept: with a quarter,
-	// what was saved up and what a window earns stay within ratio / shareMargin.
-	keepParts = 4
-	// mostEarned bounds what a node may save up.
-	mostEarned = 50
+	// decaysPerWindow is the number of decay time constants in a window. With a time
+	// constant of a quarter of a window, the retries saved up before a window and those
+	// earned in it stay within ratio / shareMargin.
+	decaysPerWindow = 4
+	// sharedEarnedLimit is the number of retries that a node may save up.
+	sharedEarnedLimit = 50
 )
 
-// SetShare sets the budget to this node's part of one that all nodes share in
-// each window: ratio times its own calls, and slack divided by the nodes. Half of
-// its slack may be spent at once, the other half comes back over a window, so
-// that no window has more than the whole.
+// SetShare sets the budget to this node's share of a budget of all nodes for each
+// window: ratio times its own calls, plus slack divided by the number of nodes. Half of
+// its slack may be spent at once and the other half is refilled over a window, so that
+// no window exceeds the total.
 func (b *Budget) SetShare(ratio, slack float64, nodes int, window time.Duration) {
 	share := shareMargin * slack / float64(max(1, nodes))
-	first := b.keep == 0
-	b.perMille = int(shareMargin * ratio / perCall)
-	b.most, b.keep = mostEarned, window/keepParts
-	b.slackMost, b.slackRate = share/2, share/2/window.Seconds()
-	b.slack = min(b.slack, b.slackMost)
+	first := b.earnedDecay == 0
+	b.perMille = int(shareMargin * ratio / perMilleUnit)
+	b.earnedLimit, b.earnedDecay = sharedEarnedLimit, window/decaysPerWindow
+	b.slackLimit, b.slackRate = share/2, share/2/window.Seconds()
+	b.slack = min(b.slack, b.slackLimit)
 	if first {
-		b.earned, b.slack = 0, b.slackMost
+		b.earned, b.slack = 0, b.slackLimit
 	}
 }
 
-// Refill lets the elapsed time count: slack comes back, and what calls earned
-// fades.
+// Refill accounts for elapsed time: slack is refilled and earned retries decay.
 func (b *Budget) Refill(elapsed time.Duration) {
-	if b.keep == 0 {
+	if b.earnedDecay == 0 {
 		return
 	}
-	b.slack = min(b.slackMost, b.slack+b.slackRate*elapsed.Seconds())
-	b.earned *= math.Exp(-float64(elapsed) / float64(b.keep))
+	b.slack = min(b.slackLimit, b.slack+b.slackRate*elapsed.Seconds())
+	b.earned *= math.Exp(-float64(elapsed) / float64(b.earnedDecay))
 }
 
-// Call counts a call that arrived.
-func (b *Budget) Call() { b.earned = min(b.earned+float64(b.perMille)*perCall, b.most) }
+// Call counts an incoming call.
+func (b *Budget) Call() { b.earned = min(b.earned+float64(b.perMille)*perMilleUnit, b.earnedLimit) }
 
-// Take spends one retry if the budget has it. A ratio of 0 allows none.
+// Take takes one retry from the budget and reports whether the budget allowed it. A
+// ratio of 0 allows none.
 func (b *Budget) Take() bool {
-	// Sums of thousandths do not come to exactly one.
-	const almost = 1 - 1e-9
-	if b.perMille == 0 || b.earned+b.slack < almost {
+	// Multiples of 1/1000 do not add up to exactly 1 in floating point.
+	const minBalance = 1 - 1e-9
+	if b.perMille == 0 || b.earned+b.slack < minBalance {
 		b.Refused++
 		return false
 	}
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -18,18 +18,18 @@
 		{"a move goes to the named sibling", false, []Ended{Moved}, TryNamed},
 		{"two moves are allowed", false, []Ended{Moved, Moved}, TryNamed},
 		{"a third move gives up, and it did not run", false, []Ended{Moved, Moved, Moved}, GiveUpNotRun},
-		{"not run may go elsewhere", false, []Ended{NotRun}, TryOther},
-		{"what reached nobody may go elsewhere", false, []Ended{Unreached}, TryOther},
-		{"what reaches nobody is given up in the end", false, []Ended{Unreached, Unreached, Unreached}, GiveUpNotRun},
-		{"lost, then reaching nobody: it may have run", true, []Ended{Lost, Unreached, Unreached}, GiveUpUnknown},
-		{"full everywhere ends it at once", true, []Ended{NotRunAnywhere}, GiveUpNotRun},
+		{"a request that did not run may go to another endpoint", false, []Ended{NotRun}, TryOther},
+		{"an unreached endpoint allows another attempt", false, []Ended{Unreached}, TryOther},
+		{"unreached endpoints end the request after three attempts", false, []Ended{Unreached, Unreached, Unreached}, GiveUpNotRun},
+		{"lost, then unreached: it may have run", true, []Ended{Lost, Unreached, Unreached}, GiveUpUnknown},
+		{"no capacity at any sibling ends it at once", true, []Ended{NotRunAnywhere}, GiveUpNotRun},
 		{"a lost payment is never sent again", false, []Ended{Lost}, GiveUpUnknown},
 		{"a lost read may be sent again", true, []Ended{Lost}, TryOther},
 		{"attempts are limited", false, []Ended{NotRun, NotRun, NotRun}, GiveUpNotRun},
 		{"lost, then refused: it may have run", true, []Ended{Lost, NotRunAnywhere}, GiveUpUnknown},
 		{"lost, then moved too often: it may have run", true, []Ended{Lost, Moved, Moved, Moved}, GiveUpUnknown},
 		{"rejections by servers are limited", false, []Ended{Rejected, Rejected, Rejected}, GiveUpNotRun},
-		{"a restarted node is asked again", false, []Ended{Restarted}, TryNamed},
+		{"a restarted node gets the request again", false, []Ended{Restarted}, TryNamed},
 	}
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
@@ -44,8 +44,9 @@
 	}
 }
 
-// Whatever becomes of the attempts: a request that is not idempotent is never
-// tried again after one that may have run, and is never called "not run" then.
+// TestMayHaveRunIsNeverRetriedNorCalledNotRun guards against running a request twice:
+// one that is not idempotent must not be retried after an attempt that may have run. It
+// also guards against reporting such a request as not run.
 func TestMayHaveRunIsNeverRetriedNorCalledNotRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Request{Idempotent: rapid.Bool().Draw(t, "idempotent"), MaxAttempts: rapid.IntRange(1, 5).Draw(t, "max")}
@@ -56,10 +57,10 @@
 			mayHaveRun = mayHaveRun || ended == Lost
 			action := r.Next(ended, budget, rapid.Bool().Draw(t, "others"))
 			if mayHaveRun && action == GiveUpNotRun {
-				t.Fatal("called not run, and may have run")
+				t.Fatal("reported as not run although it may have run")
 			}
 			if mayHaveRun && !r.Idempotent && action != GiveUpUnknown {
-				t.Fatal("tried again, and may have run")
+				t.Fatal("retried although it may have run")
 			}
 			if action == GiveUpNotRun || action == GiveUpUnknown || action == Deliver {
 				return
@@ -68,10 +69,11 @@
 	})
 }
 
-// Calls go 22 layers deep and the last layer fails wholly. Each layer has a
-// budget of its own and must stay at 1.2 attempts a call, since a layer above
-// sees an answer and not a reason to retry; retried at every layer, the last one
-// would see 3 to the power of 22.
+// TestChainOf22LayersDoesNotMultiplyRetries guards against retries that multiply along
+// a call chain. Calls go 22 layers deep and the last layer fails completely. Each layer
+// has a budget of its own and must stay at 1.2 attempts per call, since the layer above
+// gets an answer rather than a reason to retry. If every layer retried, the last one
+// would get 3 to the power of 22 attempts.
 func TestChainOf22LayersDoesNotMultiplyRetries(t *testing.T) {
 	const layers, calls = 22, 20_000
 	budgets := make([]*Budget, layers)
@@ -91,7 +93,7 @@
 		for {
 			attempts[layer]++
 			if r.Next(serve(layer+1), budgets[layer], true) != TryOther {
-				// The layer's backend server answers its caller with a failure.
+				// The layer's backend server answers its caller with an error.
 				return Answered
 			}
 		}
@@ -101,13 +103,13 @@
 	}
 	for i := range layers {
 		ratio := float64(attempts[i]) / float64(arrivals[i])
-		assert.Assert(t, ratio <= 1.2, "layer %d: %.2f attempts a call", i, ratio)
+		assert.Assert(t, ratio <= 1.2, "layer %d: %.2f attempts per call", i, ratio)
 	}
 }
 
-// A host is drained under load and refuses whatever it held, more requests than
-// the retry budget has. All of them must go elsewhere, or a planned stop would
-// cut them.
+// TestPlannedStopCostsNoRetryBudget guards against requests that fail in a planned
+// stop. A host drains under load and refuses more waiting requests than the retry
+// budget allows; all of them must go to other endpoints.
 func TestPlannedStopCostsNoRetryBudget(t *testing.T) {
 	budget := NewBudget(10)
 	for range 100 {
@@ -122,9 +124,9 @@
 	assert.Assert(t, !NewBudget(0).Take())
 }
 
-// A route allows one attempt. Its requests are refused by gates that drain: they
-// reached no backend server and go on to the next gate. One that a server
-// rejected has had its attempt.
+// TestRefusalAtAGateIsNoAttempt guards against giving up too early on a route that
+// allows one attempt. A request refused by draining gates has reached no backend server
+// and goes on to the next gate. A request rejected by a server has used its attempt.
 func TestRefusalAtAGateIsNoAttempt(t *testing.T) {
 	r := Request{MaxAttempts: 1}
 	budget := NewBudget(100)
@@ -135,11 +137,11 @@
 	assert.Equal(t, rejected.Next(Rejected, budget, true), GiveUpNotRun)
 }
 
-// The caller sees a refusal although other endpoints have room. Servers of the
-// service reject requests and their retries use the budget up; then the link to
-// one host fills, its connections time out, and the requests sent there were
-// given up with most of their time left, for want of budget. Nothing was sent,
-// so the next attempt is the first to arrive.
+// TestUnreachedCostsNoBudget guards against refusals while other endpoints have
+// capacity. Servers of the service reject requests, and the retries exhaust the budget.
+// Then the link to one host is saturated and its connections time out. The requests
+// sent there were given up for lack of budget, with most of their time left. Nothing
+// was sent, so the next attempt is the first to arrive.
 func TestUnreachedCostsNoBudget(t *testing.T) {
 	budget := NewBudget(0)
 	assert.Assert(t, !budget.Take())
--- a/core/retry/shared_test.go
+++ b/core/retry/shared_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Many nodes share one budget: ratio times the calls of a window, and slack once.
-// Whatever each of them does within its part, no window of the whole may exceed it.
+// TestNodesWithinTheirSharesStayWithinTheWhole guards against exceeding a budget that
+// many nodes share: ratio times the calls of a window, plus slack once. If each node
+// stays within its share, no window may exceed the total.
 func TestNodesWithinTheirSharesStayWithinTheWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const (
@@ -46,7 +47,7 @@
 		for end := width; end <= len(spent); end++ {
 			used, earned, before := sum(spent[end-width:end]), sum(calls[end-width:end]), sum(calls[max(0, end-2*width):end-width])
 			if limit := ratio*float64(max(earned, before)) + slack; float64(used) > limit {
-				t.Fatalf("%d retries in a window, more than %.0f", used, limit)
+				t.Fatalf("%d retries in a window, limit %.0f", used, limit)
 			}
 		}
 	})
