--- a/core/balancer/balancer.go
+++ b/core/balancer/balancer.go
@@ -1,10 +1,11 @@
-// Package balancer chooses an endpoint for a call. Each policy is a package of
-// its own behind the Policy interface; Pool keeps what the policies choose by.
+// Package balancer chooses an endpoint for a call. Each policy is a package that
+// implements the Policy interface; Pool maintains the state of the candidates that
+// policies choose by.
 //
-// The first choice only has to be fair: the gates of a service correct it with
-// fresher knowledge (package gate). Nothing here allocates per pick.
+// The first choice only has to be fair, because the gates of a service correct it with
+// more recent information (see package gate). Picks do not allocate.
 //
-// Types are pure and not safe for concurrent use.
+// The types do no I/O and are not safe for concurrent use.
 package balancer
 
 import (
@@ -14,54 +15,57 @@
 	"cactuspath/core/gate"
 )
 
-// Candidate is one endpoint as a caller's node sees it.
+// Candidate is the state of an endpoint as known to a caller's node.
 type Candidate struct {
 	Host        string
 	PeerAddress string
 	Incarnation uint64
 	Slots       int
-	// Distance is the one-way delay to it.
+	// Distance is the one-way network delay.
 	Distance time.Duration
-	// Near: it is in the caller's own data centre.
+	// Near is set if the endpoint is in the caller's own data centre.
 	Near     bool
 	Draining bool
-	// Evacuated: the operator has emptied its data centre; no request is sent there.
+	// Evacuated is set if the operator has evacuated its data centre; no request is
+	// sent there.
 	Evacuated bool
-	// Outstanding counts this node's requests there without an answer.
+	// Outstanding is the number of unanswered requests of this node.
 	Outstanding int
 
-	report   gate.Report
-	taken    time.Duration
-	reported bool
-	// sentSince counts this node's requests sent after the report was taken.
+	report     gate.Report
+	reportedAt time.Duration
+	reported   bool
+	// sentSince is the number of requests that this node has sent since the report.
 	sentSince int
-	// avoidUntil: no new work before, since it could not be reached.
+	// avoidUntil is the time until which the endpoint gets no new requests because it
+	// could not be reached.
 	avoidUntil time.Duration
 	failures   int
-	// crowdedUntil: its gate had no room for a request a short while ago.
-	crowdedUntil time.Duration
+	// recentlyFullUntil is the time until which the candidate counts as full after its
+	// gate had no capacity for a request.
+	recentlyFullUntil time.Duration
 }
 
-// Policy picks among candidates, of which there is at least one. A policy may
-// keep state; it belongs to one pool.
+// Policy picks one of the candidates, of which there is at least one. A policy may keep
+// state and belongs to one pool.
 type Policy interface {
 	Name() string
 	Pick(now time.Duration, candidates []*Candidate) *Candidate
 }
 
 const (
-	// reportLife is how long a report bears on picks.
-	reportLife = 200 * time.Millisecond
-	// firstAvoidance and longestAvoidance bound how long an endpoint that could
-	// not be reached gets no work; it doubles with each failure in a row. After
-	// it one request tries again.
-	firstAvoidance   = 100 * time.Millisecond
-	longestAvoidance = 5 * time.Second
-	// crowdMemory is how long a candidate counts as crowded after its gate passed a
-	// request on or refused it. Room comes and goes within a tenth of a second, and
-	// asking costs a message inside the data centre; a caller that keeps away for longer
+	// maxReportAge is the age up to which a report influences picks.
+	maxReportAge = 200 * time.Millisecond
+	// initialBackoff and maxBackoff bound how long an endpoint that could not be
+	// reached gets no new requests. The time doubles with each consecutive failure;
+	// afterwards one request tries the endpoint again.
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = 5 * time.Second
+	// recentlyFullDuration is how long a candidate counts as full after its gate passed
+	// a request on or refused it. Capacity changes within a tenth of a second, and
+	// asking costs one message inside the data centre. With a longer duration a caller
 	// sends most of its requests to other data centres.
-	crowdMemory = 100 * time.Millisecond
+	recentlyFullDuration = 100 * time.Millisecond
 )
 
 // Pool holds the candidates of one service.
@@ -69,11 +73,11 @@
 	policy Policy
 	all    []*Candidate
 	byHost map[string]*Candidate
-	// eligible is scratch space for picks.
+	// eligible is a buffer reused by picks.
 	eligible []*Candidate
 }
 
-// SetPolicy replaces the policy; candidates and what is known of them stay.
+// SetPolicy replaces the policy and keeps the candidates and their state.
 func (p *Pool) SetPolicy(policy Policy) { p.policy = policy }
 
 // NewPool returns a pool without candidates.
@@ -81,31 +85,31 @@
 	return &Pool{policy: policy, byHost: map[string]*Candidate{}}
 }
 
-// Update replaces the candidates; those that stay keep what is known of them.
+// Update replaces the candidates; those that remain keep their state.
 func (p *Pool) Update(list []Candidate) {
 	byHost := make(map[string]*Candidate, len(list))
 	all := make([]*Candidate, 0, len(list))
 	for _, c := range list {
-		held := p.byHost[c.Host]
-		if held == nil || held.Incarnation < c.Incarnation {
+		known := p.byHost[c.Host]
+		if known == nil || known.Incarnation < c.Incarnation {
 			fresh := c
-			held = &fresh
+			known = &fresh
 		}
-		held.PeerAddress, held.Slots, held.Draining, held.Evacuated, held.Near = c.PeerAddress, c.Slots, c.Draining, c.Evacuated, c.Near
-		if held.Distance == 0 {
-			held.Distance = c.Distance
+		known.PeerAddress, known.Slots, known.Draining, known.Evacuated, known.Near = c.PeerAddress, c.Slots, c.Draining, c.Evacuated, c.Near
+		if known.Distance == 0 {
+			known.Distance = c.Distance
 		}
-		byHost[c.Host] = held
-		all = append(all, held)
+		byHost[c.Host] = known
+		all = append(all, known)
 	}
 	p.all, p.byHost = all, byHost
 	p.eligible = make([]*Candidate, 0, len(all))
 }
 
-// Len counts the candidates.
+// Len returns the number of candidates.
 func (p *Pool) Len() int { return len(p.all) }
 
-// Evacuated tells whether there are candidates, and all of them are evacuated.
+// Evacuated reports whether there are candidates and all of them are evacuated.
 func (p *Pool) Evacuated() bool {
 	for _, c := range p.all {
 		if !c.Evacuated {
@@ -118,23 +122,23 @@
 // Get returns a candidate by host, or nil.
 func (p *Pool) Get(host string) *Candidate { return p.byHost[host] }
 
-// Pick chooses a candidate that is not in tried. When none is fit it falls
-// back to any that was not tried, since a wrong belief about all endpoints
-// must not turn into an outage; nil means that there is none. A request that was tried
-// already falls back to none that is leaving: of a full service the only one left was
-// often a host that was gone, and the caller's final answer came 300 ms late.
+// Pick chooses a candidate that is not in tried, or returns nil if there is none. If no
+// candidate is usable, it falls back to any untried one, since wrong information about
+// all endpoints must not cause an outage. A retry does not fall back to a draining
+// candidate: with a full service the only one left was often on a host that was gone,
+// and the caller's final answer came 300 ms late.
 func (p *Pool) Pick(now time.Duration, tried []string) *Candidate {
 	var c *Candidate
 	if len(tried) > 0 {
-		c = p.pickAmong(now, tried, proven)
+		c = p.pickAmong(now, tried, reliable)
 	}
 	if c == nil {
-		c = p.pickAmong(now, tried, fit)
+		c = p.pickAmong(now, tried, usable)
 	}
 	if c == nil {
-		fallback := present
+		fallback := anyCandidate
 		if len(tried) > 0 {
-			fallback = staying
+			fallback = notDraining
 		}
 		c = p.pickAmong(now, tried, fallback)
 	}
@@ -144,7 +148,8 @@
 	return c
 }
 
-// Others tells whether a candidate exists that stays and is not in tried.
+// Others reports whether there is a candidate that is neither draining nor evacuated
+// nor in tried.
 func (p *Pool) Others(tried []string) bool {
 	for _, c := range p.all {
 		if !c.Draining && !c.Evacuated && !slices.Contains(tried, c.Host) {
@@ -160,17 +165,17 @@
 	c.sentSince++
 }
 
-func fit(now time.Duration, c *Candidate) bool {
-	return !c.Draining && now >= c.avoidUntil && !(c.reported && now-c.taken < reportLife && (c.report.Load.Draining || c.report.Load.Failing))
+func usable(now time.Duration, c *Candidate) bool {
+	return !c.Draining && now >= c.avoidUntil && !(c.reported && now-c.reportedAt < maxReportAge && (c.report.Load.Draining || c.report.Load.Failing))
 }
 
-// proven leaves out endpoints that failed when they were last tried: a request
-// that was refused once already is not the one to try them with.
-func proven(now time.Duration, c *Candidate) bool { return fit(now, c) && c.failures == 0 }
+// reliable excludes endpoints whose last attempt failed: a request that was already
+// refused once must not be the one to try them again.
+func reliable(now time.Duration, c *Candidate) bool { return usable(now, c) && c.failures == 0 }
 
-func present(time.Duration, *Candidate) bool { return true }
+func anyCandidate(time.Duration, *Candidate) bool { return true }
 
-func staying(_ time.Duration, c *Candidate) bool { return !c.Draining }
+func notDraining(_ time.Duration, c *Candidate) bool { return !c.Draining }
 
 func (p *Pool) pickAmong(now time.Duration, tried []string, test func(time.Duration, *Candidate) bool) *Candidate {
 	p.eligible = p.eligible[:0]
@@ -185,8 +190,7 @@
 	return p.policy.Pick(now, p.eligible)
 }
 
-// Done counts an attempt's end. Reached tells whether the endpoint's node
-// answered at all.
+// Done counts the end of an attempt. reached is set if the endpoint's node answered.
 func (p *Pool) Done(now time.Duration, c *Candidate, reached bool) {
 	c.Outstanding--
 	if reached {
@@ -195,51 +199,54 @@
 		return
 	}
 	c.failures++
-	c.avoidUntil = now + min(firstAvoidance<<min(c.failures-1, 10), longestAvoidance)
+	c.avoidUntil = now + min(initialBackoff<<min(c.failures-1, 10), maxBackoff)
 }
 
-// Avoid keeps new work away from a candidate for a while.
+// Avoid sends no new requests to a candidate until the given time.
 func (p *Pool) Avoid(until time.Duration, host string) {
 	if c := p.byHost[host]; c != nil {
 		c.avoidUntil = max(c.avoidUntil, until)
 	}
 }
 
-// SetCrowded notes that a candidate's gate passed a request on, or refused it, for
-// lack of room.
-func (p *Pool) SetCrowded(now time.Duration, c *Candidate) { c.crowdedUntil = now + crowdMemory }
+// SetCrowded records that a candidate's gate passed a request on or refused it for lack
+// of capacity.
+func (p *Pool) SetCrowded(now time.Duration, c *Candidate) {
+	c.recentlyFullUntil = now + recentlyFullDuration
+}
 
-// Crowded tells whether that happened a short while ago.
-func (c *Candidate) Crowded(now time.Duration) bool { return now < c.crowdedUntil }
+// RecentlyFull reports whether SetCrowded was called within recentlyFullDuration.
+func (c *Candidate) RecentlyFull(now time.Duration) bool { return now < c.recentlyFullUntil }
 
-// SetDraining notes that a candidate's gate said it is leaving, ahead of the
-// directory.
+// SetDraining records that a candidate's gate reported draining before the directory
+// did.
 func (p *Pool) SetDraining(c *Candidate) { c.Draining = true }
 
-// SetIncarnation notes a node's restart ahead of the directory.
+// SetIncarnation records a node's restart before the directory reports it.
 func (p *Pool) SetIncarnation(c *Candidate, incarnation uint64) {
 	if incarnation > c.Incarnation {
 		c.Incarnation = incarnation
 	}
 }
 
-// Learn takes in a report about a candidate.
+// Learn updates a candidate with a load report.
 func (p *Pool) Learn(now time.Duration, r gate.Report) {
 	c := p.byHost[r.Host]
 	if c == nil || c.reported && !r.Newer(c.report) {
 		return
 	}
-	c.report, c.taken, c.reported = r, now-c.Distance, true
+	c.report, c.reportedAt, c.reported = r, now-c.Distance, true
 	c.sentSince = 0
 }
 
-// Report returns the newest report about a candidate, if it is fresh.
+// Report returns the latest report of a candidate if it is not too old.
 func (c *Candidate) Report(now time.Duration) (r gate.Report, ok bool) {
-	if !c.reported || now-c.taken > reportLife {
+	if !c.reported || now-c.reportedAt > maxReportAge {
 		return gate.Report{}, false
 	}
 	return c.report, true
 }
 
-// SentSince counts this node's requests sent there after the report.
+// SentSince returns the number of requests that this node has sent to the candidate
+// since the report.
 func (c *Candidate) SentSince() int { return c.sentSince }
--- a/core/balancer/balancer_test.go
+++ b/core/balancer/balancer_test.go
@@ -18,9 +18,9 @@
 	"cactuspath/core/gate"
 )
 
-func source() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
+func newRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
 
-func pool(policy balancer.Policy, n int) *balancer.Pool {
+func newPool(policy balancer.Policy, n int) *balancer.Pool {
 	p := balancer.NewPool(policy)
 	var list []balancer.Candidate
 	for i := range n {
@@ -30,11 +30,11 @@
 	return p
 }
 
-func TestEveryPolicyAvoidsWhatIsTriedOrUnfit(t *testing.T) {
-	policies := []balancer.Policy{random.New(source()), roundrobin.New(source()), leastoutstanding.New(source()), twochoices.New(source()), predicted.New(source())}
+func TestEveryPolicyAvoidsTriedAndUnusableCandidates(t *testing.T) {
+	policies := []balancer.Policy{random.New(newRandom()), roundrobin.New(newRandom()), leastoutstanding.New(newRandom()), twochoices.New(newRandom()), predicted.New(newRandom())}
 	for _, policy := range policies {
 		t.Run(policy.Name(), func(t *testing.T) {
-			p := pool(policy, 4)
+			p := newPool(policy, 4)
 			p.SetDraining(p.Get("host-02"))
 			p.Learn(0, gate.Report{Host: "host-03", Incarnation: 1, Sequence: 1, Load: gate.Load{Slots: 4, Failing: true}})
 			for range 50 {
@@ -46,20 +46,21 @@
 	}
 }
 
-// Every endpoint is believed unfit. A belief may be wrong, and refusing all
-// work would turn it into an outage: one is still picked.
-func TestAllUnfitStillPicksOne(t *testing.T) {
-	p := pool(leastoutstanding.New(source()), 2)
+// TestAllUnusableStillPicksOne guards against an outage caused by wrong information: if
+// all endpoints are considered unusable, one is still picked.
+func TestAllUnusableStillPicksOne(t *testing.T) {
+	p := newPool(leastoutstanding.New(newRandom()), 2)
 	p.SetDraining(p.Get("host-00"))
 	p.SetDraining(p.Get("host-01"))
 	assert.Assert(t, p.Pick(0, nil) != nil)
 	assert.Assert(t, p.Pick(0, []string{"host-00", "host-01"}) == nil)
 }
 
-// An endpoint cannot be reached. It gets no work for a while that grows with
-// each failure, then one try; an answer brings it back at once.
+// TestUnreachableEndpointIsTriedAgain guards against sending requests to an unreachable
+// endpoint and against avoiding it forever. It gets no requests for a time that grows
+// with each failure, then one request; an answer makes it usable at once.
 func TestUnreachableEndpointIsTriedAgain(t *testing.T) {
-	p := pool(leastoutstanding.New(source()), 2)
+	p := newPool(leastoutstanding.New(newRandom()), 2)
 	c := p.Get("host-00")
 	p.Start(c)
 	p.Done(0, c, false)
@@ -71,10 +72,10 @@
 	assert.Equal(t, back.Host, "host-00")
 }
 
-// A request was refused by one endpoint. It is not sent on to one that failed
-// when it was last tried while there is another.
-func TestRetryGoesToAProvenEndpoint(t *testing.T) {
-	p := pool(leastoutstanding.New(source()), 3)
+// TestRetryGoesToAReliableEndpoint guards against sending a refused request to an
+// endpoint that failed at its last attempt, while there is another one.
+func TestRetryGoesToAReliableEndpoint(t *testing.T) {
+	p := newPool(leastoutstanding.New(newRandom()), 3)
 	failing := p.Get("host-01")
 	p.Start(failing)
 	p.Done(0, failing, false)
@@ -86,10 +87,10 @@
 	}
 }
 
-// A node restarts: its new incarnation starts without what was known of the
-// old one, and an older entry does not bring that back.
-func TestRestartedNodeStartsAnew(t *testing.T) {
-	p := pool(leastoutstanding.New(source()), 1)
+// TestRestartDiscardsState guards against applying the state of an old incarnation to a
+// restarted node. An older entry must not restore that state.
+func TestRestartDiscardsState(t *testing.T) {
+	p := newPool(leastoutstanding.New(newRandom()), 1)
 	c := p.Get("host-00")
 	p.Start(c)
 	p.SetDraining(c)
@@ -99,11 +100,12 @@
 	assert.Assert(t, !fresh.Draining)
 }
 
-// BenchmarkPick: the goal is at most 1 us and no allocation at 64 candidates.
+// BenchmarkPick measures a pick. The target is at most 1 us and no allocation with 64
+// candidates.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{3, 13, 64} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			p := pool(leastoutstanding.New(source()), n)
+			p := newPool(leastoutstanding.New(newRandom()), n)
 			b.ReportAllocs()
 			for b.Loop() {
 				c := p.Pick(0, nil)
@@ -114,7 +116,7 @@
 }
 
 func TestPickDoesNotAllocate(t *testing.T) {
-	p := pool(leastoutstanding.New(source()), 64)
+	p := newPool(leastoutstanding.New(newRandom()), 64)
 	allocations := testing.AllocsPerRun(100, func() {
 		c := p.Pick(0, nil)
 		p.Done(0, c, true)
@@ -122,11 +124,12 @@
 	assert.Equal(t, allocations, 0.0)
 }
 
-// The near endpoint's gate passes one request on for lack of room. Its callers keep away
-// for a moment and then ask again, since room comes and goes within a tenth of a second:
-// for a second all that they sent went to other data centres.
-func TestCrowdedCandidateIsLeftForAMoment(t *testing.T) {
-	p := balancer.NewPool(nearby.New(leastoutstanding.New(source())))
+// TestFullCandidateIsAvoidedBriefly guards against avoiding a near endpoint for long
+// after its gate passed a request on for lack of capacity. Capacity changes within a
+// tenth of a second. When callers avoided the endpoint for a second, all their requests
+// of that second went to other data centres.
+func TestFullCandidateIsAvoidedBriefly(t *testing.T) {
+	p := balancer.NewPool(nearby.New(leastoutstanding.New(newRandom())))
 	p.Update([]balancer.Candidate{{Host: "near", Near: true, Slots: 4}, {Host: "far", Slots: 4}})
 	pick := func(now time.Duration) string {
 		c := p.Pick(now, nil)
@@ -141,17 +144,18 @@
 			far++
 		}
 	}
-	assert.Assert(t, far > 0, "nobody looked elsewhere while there was no room")
+	assert.Assert(t, far > 0, "no pick avoided the full candidate")
 	for range 20 {
 		assert.Equal(t, pick(110*time.Millisecond), "near")
 	}
 }
 
-// A service is full, and one of its three endpoints has left with its host; the
-// directory still lists it as draining. A request that two gates have refused must get
-// its answer now: sent to the third it waited for a connection that nobody accepts.
-func TestRefusedRequestIsNotSentToALeavingEndpoint(t *testing.T) {
-	p := pool(leastoutstanding.New(source()), 3)
+// TestRefusedRequestIsNotSentToADrainingEndpoint guards against a late answer from a
+// full service. One of its three endpoints is gone with its host, and the directory
+// still lists it as draining. A request that two gates have refused must be answered
+// now; sent to the third endpoint it waited for a connection that nobody accepts.
+func TestRefusedRequestIsNotSentToADrainingEndpoint(t *testing.T) {
+	p := newPool(leastoutstanding.New(newRandom()), 3)
 	p.SetDraining(p.Get("host-02"))
 	tried := []string{"host-00", "host-01"}
 	assert.Assert(t, !p.Others(tried))
@@ -159,10 +163,11 @@
 	assert.Assert(t, p.Pick(0, tried[:1]) == p.Get("host-01"))
 }
 
-// Guards against requests to an evacuated data centre when nothing else is left: what is
-// leaving is a last resort, what is evacuated is none.
+// TestEvacuatedCandidatesAreNeverPicked guards against requests to an evacuated data
+// centre when no other candidate is left: draining candidates are a last resort,
+// evacuated ones are never picked.
 func TestEvacuatedCandidatesAreNeverPicked(t *testing.T) {
-	p := balancer.NewPool(roundrobin.New(source()))
+	p := balancer.NewPool(roundrobin.New(newRandom()))
 	p.Update([]balancer.Candidate{{Host: "kept"}, {Host: "emptied", Evacuated: true}})
 	assert.Equal(t, p.Pick(0, nil).Host, "kept")
 	assert.Assert(t, p.Pick(0, []string{"kept"}) == nil)
@@ -172,5 +177,5 @@
 	assert.Assert(t, p.Pick(0, nil) == nil)
 	assert.Assert(t, p.Evacuated())
 	p.Update([]balancer.Candidate{{Host: "kept"}, {Host: "emptied"}})
-	assert.Assert(t, p.Pick(0, []string{"kept"}) != nil, "it is taken back")
+	assert.Assert(t, p.Pick(0, []string{"kept"}) != nil, "the candidate was not picked after the evacuation ended")
 }
--- a/core/balancer/leastoutstanding/leastoutstanding.go
+++ b/core/balancer/leastoutstanding/leastoutstanding.go
@@ -1,6 +1,6 @@
-// Package leastoutstanding picks the candidate with the fewest requests of
-// this caller in flight. It needs no reports, reacts to a stall as soon as
-// answers stop, and cannot herd, since it counts what this caller itself does.
+// Package leastoutstanding picks the candidate with the fewest outstanding requests of
+// this caller. It needs no reports and reacts to a stall as soon as answers stop. It
+// cannot cause herding, since it counts only the caller's own requests.
 package leastoutstanding
 
 import (
@@ -12,14 +12,15 @@
 
 type policy struct{ random *rand.Rand }
 
-// New returns the policy with its own source of randomness.
+// New returns the policy with its own random source.
 func New(random *rand.Rand) balancer.Policy { return policy{random} }
 
-// Name names the policy.
+// Name implements balancer.Policy.
 func (policy) Name() string { return "least-outstanding" }
 
-// Pick returns a candidate with the fewest requests per slot; ties are broken
-// at random, or callers with nothing in flight would all pick the first.
+// Pick returns a candidate with the fewest outstanding requests per slot. Ties are
+// broken at random, since all callers without outstanding requests would otherwise pick
+// the first.
 func (p policy) Pick(_ time.Duration, candidates []*balancer.Candidate) *balancer.Candidate {
 	best := candidates[0]
 	ties := 1
--- a/core/balancer/nearby/nearby.go
+++ b/core/balancer/nearby/nearby.go
@@ -1,7 +1,7 @@
-// Package nearby narrows another policy's choice to the candidates of the
-// caller's own data centre, as long as they have room. Bytes between data
-// centres cost money and delay, and the gate that is picked still moves a
-// request away when a sibling elsewhere would finish it far sooner.
+// Package nearby restricts another policy to the candidates in the caller's own data
+// centre, as long as they have capacity. Traffic between data centres costs money and
+// adds delay, and the gate of the picked endpoint still moves a request away if a
+// sibling elsewhere would finish it far sooner.
 package nearby
 
 import (
@@ -10,37 +10,38 @@
 	"cactuspath/core/balancer"
 )
 
-// roomShare is up to which share of its slots a near candidate may be taken by
-// this caller alone before others are looked at. Its gate knows better who has room
-// and passes on what would wait; up to here the first way is the near one.
-const roomShare = 0.8
+// maxOwnUtilization is the share of a near candidate's slots that this caller alone may
+// use before other candidates are considered. The candidate's gate has more accurate
+// information and passes on requests that would wait, so up to this share a near
+// candidate is tried first.
+const maxOwnUtilization = 0.8
 
 type policy struct {
 	inner balancer.Policy
 	near  []*balancer.Candidate
 }
 
-// New returns the policy around another one.
+// New returns the policy as a wrapper of another one.
 func New(inner balancer.Policy) balancer.Policy { return &policy{inner: inner} }
 
-// Name names the policy.
+// Name implements balancer.Policy.
 func (p *policy) Name() string { return "nearby-" + p.inner.Name() }
 
-// roomy tells whether a near candidate is taken without a look at others. What
-// this caller has there says little where many callers share few near endpoints:
-// all would fill them, each within its own share, and the link in front of them
-// with bodies that are then sent again elsewhere. So a gate that had no room a
-// short while ago counts as well.
-func roomy(now time.Duration, c *balancer.Candidate) bool {
-	return float64(c.Outstanding) < roomShare*float64(max(1, c.Slots)) && !c.Crowded(now)
+// hasCapacity reports whether a near candidate is picked without considering others.
+// The caller's own outstanding requests say little where many callers share few near
+// endpoints: all callers together would fill them, each within its own share, and
+// saturate the link in front of them with bodies that are then sent again elsewhere. A
+// candidate whose gate recently had no capacity is therefore excluded as well.
+func hasCapacity(now time.Duration, c *balancer.Candidate) bool {
+	return float64(c.Outstanding) < maxOwnUtilization*float64(max(1, c.Slots)) && !c.RecentlyFull(now)
 }
 
-// Pick lets the inner policy choose among the near candidates that have room,
-// or among all when none has.
+// Pick applies the inner policy to the near candidates that have capacity, or to all
+// candidates if none has.
 func (p *policy) Pick(now time.Duration, candidates []*balancer.Candidate) *balancer.Candidate {
 	p.near = p.near[:0]
 	for _, c := range candidates {
-		if c.Near && roomy(now, c) {
+		if c.Near && hasCapacity(now, c) {
 			p.near = append(p.near, c)
 		}
 	}
--- a/core/balancer/nearby/nearby_test.go
+++ b/core/balancer/nearby/nearby_test.go
@@ -17,11 +17,11 @@
 		candidates []balancer.Candidate
 		want       string
 	}{
-		{"the near one, although a far one is idle", []balancer.Candidate{{Host: "far", Slots: 10}, {Host: "near", Near: true, Slots: 10, Outstanding: 3}}, "near"},
-		{"the near one, up to eight tenths", []balancer.Candidate{{Host: "far", Slots: 10}, {Host: "near", Near: true, Slots: 10, Outstanding: 7}}, "near"},
-		{"the far one, once the near one is that full", []balancer.Candidate{{Host: "far", Slots: 10}, {Host: "near", Near: true, Slots: 10, Outstanding: 8}}, "far"},
-		{"the emptier of two near ones", []balancer.Candidate{{Host: "x", Near: true, Slots: 10, Outstanding: 2}, {Host: "y", Near: true, Slots: 10, Outstanding: 1}}, "y"},
-		{"any, where none is near", []balancer.Candidate{{Host: "far", Slots: 10}}, "far"},
+		{"near candidate although a far one is idle", []balancer.Candidate{{Host: "far", Slots: 10}, {Host: "near", Near: true, Slots: 10, Outstanding: 3}}, "near"},
+		{"near candidate below 80 % utilization", []balancer.Candidate{{Host: "far", Slots: 10}, {Host: "near", Near: true, Slots: 10, Outstanding: 7}}, "near"},
+		{"far candidate once the near one is at 80 %", []balancer.Candidate{{Host: "far", Slots: 10}, {Host: "near", Near: true, Slots: 10, Outstanding: 8}}, "far"},
+		{"less utilized of two near candidates", []balancer.Candidate{{Host: "x", Near: true, Slots: 10, Outstanding: 2}, {Host: "y", Near: true, Slots: 10, Outstanding: 1}}, "y"},
+		{"any candidate if none is near", []balancer.Candidate{{Host: "far", Slots: 10}}, "far"},
 	}
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
@@ -35,10 +35,12 @@
 	}
 }
 
-// The caller waits behind a full link. Thirty nodes share two near endpoints, each
-// with little outstanding there, so that the near ones always looked free: bodies
-// crossed their links, were passed on by the gate, and were sent again elsewhere.
-func TestCrowdedNearIsNotPreferred(t *testing.T) {
+// TestFullNearCandidateIsNotPreferred guards against saturating a link. Thirty nodes
+// share two near endpoints, each with few outstanding requests there, so that the near
+// endpoints always seemed to have capacity. Bodies crossed their links, were passed on
+// by the gate and were sent again elsewhere, while the callers waited for the saturated
+// link.
+func TestFullNearCandidateIsNotPreferred(t *testing.T) {
 	pool := balancer.NewPool(New(leastoutstanding.New(rand.New(rand.NewPCG(1, 2)))))
 	pool.Update([]balancer.Candidate{{Host: "far", Slots: 10}, {Host: "near", Near: true, Slots: 10}})
 	near := pool.Get("near")
--- a/core/balancer/nodes/nodes.go
+++ b/core/balancer/nodes/nodes.go
@@ -1,5 +1,5 @@
-// Package nodes puts together the policy by which nodes pick, so that what runs and
-// what is tried out in virtual time cannot drift apart.
+// Package nodes builds the policy that nodes use, so that production code and
+// simulations in virtual time use the same one.
 package nodes
 
 import (
@@ -11,7 +11,7 @@
 	"cactuspath/core/mechanism"
 )
 
-// Policy returns the nodes' policy without the mechanisms that are switched off.
+// Policy returns the nodes' policy without the disabled mechanisms.
 func Policy(random *rand.Rand, off mechanism.Set) balancer.Policy {
 	policy := leastoutstanding.New(random)
 	if off.Has(mechanism.Near) {
--- a/core/balancer/predicted/predicted.go
+++ b/core/balancer/predicted/predicted.go
@@ -1,7 +1,8 @@
-// Package predicted picks the candidate expected to finish a call soonest, by
-// its last report, this caller's sends since, and the distance. Without a
-// fresh report it falls back to this caller's own count, so that a rule which
-// knows little does not herd on what it happens to know.
+// Package predicted picks the candidate with the earliest expected completion of a
+// call, based on its last report, the requests that this caller has sent since, and the
+// distance. Without a recent report it uses this caller's own outstanding requests, so
+// that callers with little information do not herd to the few candidates that they have
+// reports of.
 package predicted
 
 import (
@@ -13,17 +14,17 @@
 
 type policy struct{ random *rand.Rand }
 
-// New returns the policy with its own source of randomness.
+// New returns the policy with its own random source.
 func New(random *rand.Rand) balancer.Policy { return policy{random} }
 
-// Name names the policy.
+// Name implements balancer.Policy.
 func (policy) Name() string { return "predicted" }
 
-// unknownService stands in for the service time of a candidate that never
-// reported.
-const unknownService = float64(5 * time.Millisecond)
+// defaultServiceTime is the assumed service time, in nanoseconds, of a candidate
+// without a recent report.
+const defaultServiceTime = float64(5 * time.Millisecond)
 
-// Pick returns the candidate with the lowest expected finish.
+// Pick returns the candidate with the earliest expected completion.
 func (p policy) Pick(now time.Duration, candidates []*balancer.Candidate) *balancer.Candidate {
 	best := candidates[0]
 	bestScore := p.score(now, best)
@@ -38,11 +39,11 @@
 func (p policy) score(now time.Duration, c *balancer.Candidate) float64 {
 	slots := float64(max(1, c.Slots))
 	noise := 1 + 0.05*p.random.Float64()
-	travel := 2 * float64(c.Distance)
+	roundTrip := 2 * float64(c.Distance)
 	r, ok := c.Report(now)
 	if !ok {
-		return noise*unknownService*(1+float64(c.Outstanding)/slots) + travel
+		return noise*defaultServiceTime*(1+float64(c.Outstanding)/slots) + roundTrip
 	}
 	ahead := max(r.Load.Running+r.Load.Waiting+c.SentSince(), c.Outstanding)
-	return noise*float64(r.Load.Service)*(1+float64(ahead)/slots) + travel
+	return noise*float64(r.Load.Service)*(1+float64(ahead)/slots) + roundTrip
 }
--- a/core/balancer/random/random.go
+++ b/core/balancer/random/random.go
@@ -1,4 +1,5 @@
-// Package random picks any candidate: the baseline that knows nothing.
+// Package random picks a random candidate. It uses no information about the candidates
+// and serves as a baseline.
 package random
 
 import (
@@ -10,13 +11,13 @@
 
 type policy struct{ random *rand.Rand }
 
-// New returns the policy with its own source of randomness.
+// New returns the policy with its own random source.
 func New(random *rand.Rand) balancer.Policy { return policy{random} }
 
-// Name names the policy.
+// Name implements balancer.Policy.
 func (policy) Name() string { return "random" }
 
-// Pick returns any candidate.
+// Pick returns a random candidate.
 func (p policy) Pick(_ time.Duration, candidates []*balancer.Candidate) *balancer.Candidate {
 	return candidates[p.random.IntN(len(candidates))]
 }
--- a/core/balancer/roundrobin/roundrobin.go
+++ b/core/balancer/roundrobin/roundrobin.go
@@ -10,14 +10,14 @@
 
 type policy struct{ next int }
 
-// New returns the policy; it starts at a random place, so that many callers do
-// not all begin with the same endpoint.
+// New returns the policy. It starts at a random position, so that many callers do not
+// all start with the same endpoint.
 func New(random *rand.Rand) balancer.Policy { return &policy{next: random.IntN(1 << 16)} }
 
-// Name names the policy.
+// Name implements balancer.Policy.
 func (*policy) Name() string { return "round-robin" }
 
-// Pick returns the candidate whose turn it is.
+// Pick returns the next candidate in turn.
 func (p *policy) Pick(_ time.Duration, candidates []*balancer.Candidate) *balancer.Candidate {
 	p.next++
 	return candidates[p.next%len(candidates)]
--- a/core/balancer/twochoices/twochoices.go
+++ b/core/balancer/twochoices/twochoices.go
@@ -1,5 +1,5 @@
-// Package twochoices draws two candidates at random and picks the one with
-// fewer of this caller's requests in flight.
+// Package twochoices draws two candidates at random and picks the one with fewer
+// outstanding requests of this caller.
 package twochoices
 
 import (
@@ -11,13 +11,13 @@
 
 type policy struct{ random *rand.Rand }
 
-// New returns the policy with its own source of randomness.
+// New returns the policy with its own random source.
 func New(random *rand.Rand) balancer.Policy { return policy{random} }
 
-// Name names the policy.
+// Name implements balancer.Policy.
 func (policy) Name() string { return "two-choices" }
 
-// Pick returns the less busy of two.
+// Pick returns the one of two random candidates with fewer outstanding requests.
 func (p policy) Pick(_ time.Duration, candidates []*balancer.Candidate) *balancer.Candidate {
 	a := candidates[p.random.IntN(len(candidates))]
 	b := candidates[p.random.IntN(len(candidates))]
