--- a/core/measure/budget_test.go
+++ b/core/measure/budget_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// An institution pays for measuring by the second. Whatever the moments at
-// which gates want to report, no span of one second, wherever it starts, may
-// hold more than the budget; a plain token bucket lets its burst through on top
-// of its rate.
+// TestNoSpanOfOneSecondExceedsTheBudget guards against exceeding the budget in any
+// period of one second, wherever it starts and whenever gates send reports.
+// Institutions pay for measuring by the second. A plain token bucket admits its burst
+// on top of its rate.
 func TestNoSpanOfOneSecondExceedsTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reports := rapid.IntRange(0, 40).Draw(t, "reports")
@@ -45,8 +45,8 @@
 	})
 }
 
-// A budget that shrinks while it is in use must hold from then on, what was
-// spent in the last second included.
+// TestShrunkBudgetCountsWhatWasSpent guards against exceeding a budget that is reduced
+// while in use: reports sent in the last second count against the new limits.
 func TestShrunkBudgetCountsWhatWasSpent(t *testing.T) {
 	b := NewBudget(10, 1000)
 	for range 8 {
@@ -57,8 +57,8 @@
 	assert.Assert(t, b.Allow(time.Second, 10))
 }
 
-// Gates do not talk about the budget; the sum of their shares must stay within
-// it for any number of them.
+// TestSharesSumWithinTheBudget guards against shares that add up to more than the
+// budget for some number of gates, since gates do not coordinate their spending.
 func TestSharesSumWithinTheBudget(t *testing.T) {
 	for _, gates := range []int{0, 1, 3, 7, 12, 200} {
 		assert.Assert(t, GateShare(2500, gates)*max(1, gates) <= 2500)
