--- a/core/mechanism/mechanism.go
+++ b/core/mechanism/mechanism.go
@@ -1,6 +1,6 @@
-// Package mechanism names the parts of the decision code that can be switched off one
-// by one: in a process by its settings, when one of them does harm, and in the
-// emulator, to find out what each is worth.
+// Package mechanism names the parts of the decision logic that can be disabled
+// individually: in a process by its settings, if one of them causes harm, and in the
+// emulator, to determine the benefit of each.
 package mechanism
 
 import (
@@ -15,44 +15,49 @@
 
 // Mechanisms.
 const (
-	// Moves has gates pass requests on to siblings that would finish them sooner. A
-	// gate whose server is leaving or cannot be reached passes them on all the same.
+	// Moves lets gates pass requests on to siblings that would finish them sooner. A
+	// gate whose server is draining or unreachable passes them on even if Moves is
+	// disabled.
 	Moves Set = 1 << iota
-	// Holds has a gate keep a request back while its server is slow and a sibling is not.
+	// Holds lets a gate hold a request back while its server is slow and a sibling is
+	// not.
 	Holds
-	// Hints has a gate name a sibling for a request that got stuck, so that its caller's
-	// node sends it a second time.
+	// Hints lets a gate name a sibling for a stuck request, so that its caller's node
+	// sends the request a second time.
 	Hints
-	// Crowd has a gate leave the last slots empty where a crowd slows the server.
+	// Crowd lets a gate leave the last slots unused if high concurrency slows the
+	// server down.
 	Crowd
 	// Ranks orders waiting requests by priority and aim.
 	Ranks
-	// Aims puts waiting requests that miss their aim behind the others.
+	// Aims moves waiting requests that miss their aim behind the others.
 	Aims
-	// KeptSlots keeps slots for short requests.
+	// KeptSlots reserves slots for short requests.
 	KeptSlots
-	// Everywhere tells callers' nodes that no sibling has room either.
+	// Everywhere tells callers' nodes that no sibling has capacity either.
 	Everywhere
-	// Outlier moves requests away from a server that fails where its siblings do not.
+	// Outlier moves requests away from a server that fails while its siblings do not.
 	Outlier
-	// Lasting tells a slowness that stays from one that is over in a moment.
+	// Lasting distinguishes a persistent slowdown from a momentary one.
 	Lasting
-	// Cold believes a server that announces how long it stays slow after its start.
+	// Cold trusts a server's announcement of how long it stays slow after its start.
 	Cold
-	// Told goes by what servers say of their speed; without it completions tell.
+	// Told uses the speed that servers announce; without it the speed is estimated from
+	// completions.
 	Told
 	// FairShares serves waiting callers in turn.
 	FairShares
 	// Near prefers endpoints in the caller's data centre.
 	Near
-	// Silence keeps requests away from hosts that give no sign of life.
+	// Silence keeps requests away from hosts that send no sign of life.
 	Silence
-	// AskFirst holds larger bodies back until a gate wants them.
+	// AskFirst holds larger bodies back until a gate requests them.
 	AskFirst
-	// Pace learns whether requests keep the pace of their start; without it their work
-	// is taken to follow the speed of their server.
+	// Pace learns whether requests keep the speed of their start; without it their
+	// progress is assumed to follow the speed of their server.
 	Pace
-	// Shedding refuses a share of requests while the process is short of processor time.
+	// Shedding refuses a share of requests while the process is short of processor
+	// time.
 	Shedding
 )
 
@@ -61,10 +66,10 @@
 	Outlier: "outlier", Lasting: "lasting", Cold: "cold", Told: "told", FairShares: "fair-shares", Near: "near", Silence: "silence", AskFirst: "ask-first", Pace: "pace", Shedding: "shedding",
 }
 
-// Has tells whether the set holds a mechanism.
+// Has reports whether the set contains a mechanism.
 func (s Set) Has(m Set) bool { return s&m != 0 }
 
-// Names lists what the set holds, in alphabetical order.
+// Names returns the names of the mechanisms in the set, in alphabetical order.
 func (s Set) Names() []string {
 	list := []string{}
 	for m, name := range names {
@@ -76,7 +81,7 @@
 	return list
 }
 
-// All is the set of every mechanism.
+// All returns the set of all mechanisms.
 func All() Set {
 	all := Set(0)
 	for m := range names {
@@ -85,16 +90,16 @@
 	return all
 }
 
-// ErrUnknown is the kind of Parse's errors.
+// ErrUnknown is wrapped by the errors of Parse.
 var ErrUnknown = errors.New("no such mechanism")
 
-// Parse reads a set from names.
+// Parse returns the set of the mechanisms with the given names.
 func Parse(list []string) (Set, error) {
 	var s Set
 	for _, name := range list {
 		m := find(name)
 		if m == 0 {
-			return 0, fmt.Errorf("%w: %q; the names are %s", ErrUnknown, name, strings.Join(All().Names(), ", "))
+			return 0, fmt.Errorf("%w: %q; valid names are %s", ErrUnknown, name, strings.Join(All().Names(), ", "))
 		}
 		s |= m
 	}
