--- a/core/consensus/disk_test.go
+++ b/core/consensus/disk_test.go
@@ -2,12 +2,12 @@
 
 import apiv1 "cactuspath/api/cactuspath/v1"
 
-// disk is what a crash leaves: synced state, and a tail that may be lost.
+// disk is a simulated disk. It holds the state that survives a crash.
 type disk struct {
-	hard     *apiv1.HardState
-	snapshot *apiv1.Snapshot
-	entries  []*apiv1.LogEntry
-	founders *apiv1.Membership
+	hardState *apiv1.HardState
+	snapshot  *apiv1.Snapshot
+	entries   []*apiv1.LogEntry
+	founders  *apiv1.Membership
 }
 
 func (d *disk) save(rd Ready) {
@@ -16,15 +16,15 @@
 		d.entries = nil
 	}
 	for _, e := range rd.Entries {
-		d.cut(e.Index)
+		d.truncateFrom(e.Index)
 		d.entries = append(d.entries, e)
 	}
 	if rd.HardState != nil {
-		d.hard = rd.HardState
+		d.hardState = rd.HardState
 	}
 }
 
-func (d *disk) cut(index uint64) {
+func (d *disk) truncateFrom(index uint64) {
 	for i, e := range d.entries {
 		if e.Index >= index {
 			d.entries = d.entries[:i:i]
--- a/core/consensus/election.go
+++ b/core/consensus/election.go
@@ -7,15 +7,15 @@
 func (r *Raft) tickLeader() {
 	r.heartbeatElapsed++
 	for _, p := range r.progress {
-		p.silent++
-		r.tickSnapshot(p)
+		p.ticksSinceReply++
+		r.expireSnapshot(p)
 	}
 	if r.electionElapsed >= r.electionTicks {
 		r.electionElapsed = 0
 		r.transferee = 0
 		if !r.quorumActive() {
-			// A leader that a partition cut off would otherwise believe itself
-			// healthy for as long as the cut lasts, and operators would wait on it.
+			// A partitioned leader would otherwise remain leader for as long as the
+			// partition lasts, and operator requests to it would hang.
 			r.becomeFollower(r.term, 0)
 			return
 		}
@@ -30,42 +30,42 @@
 	return r.quorum(func(id uint64) bool { return id == r.id || r.progress[id] != nil && r.progress[id].active }, true)
 }
 
-// quorum tells whether a majority of voters satisfies test; clear also resets
-// their activity for the next check.
-func (r *Raft) quorum(test func(uint64) bool, clear bool) bool {
-	voters, yes := 0, 0
+// quorum reports whether a majority of voters satisfies predicate. If clear is
+// set, it also resets the active flag of all members for the next check.
+func (r *Raft) quorum(predicate func(uint64) bool, clear bool) bool {
+	voters, satisfied := 0, 0
 	for _, m := range r.membership.Members {
 		if !m.Learner {
 			voters++
-			if test(m.Id) {
-				yes++
+			if predicate(m.Id) {
+				satisfied++
 			}
 		}
 		if p := r.progress[m.Id]; clear && p != nil {
 			p.active = false
 		}
 	}
-	return yes > voters/2
+	return satisfied > voters/2
 }
 
-func (r *Raft) voter(id uint64) bool {
+func (r *Raft) isVoter(id uint64) bool {
 	m := FindMember(r.membership, id)
 	return m != nil && !m.Learner
 }
 
 func (r *Raft) resetTimeout() {
 	r.electionElapsed = 0
-	r.timeout = r.electionTicks + r.random.IntN(r.electionTicks)
+	r.electionTimeout = r.electionTicks + r.random.IntN(r.electionTicks)
 	if r.leader == 0 && r.role != Leader {
-		// No leader is waited for: the vote was split, or all restarted. The draw
-		// alone keeps the next candidates apart.
-		r.timeout = leaderlessTicks + r.random.IntN(r.electionTicks)
+		// There is no leader to wait for, after a split vote or a restart of all
+		// replicas. The random part alone keeps candidates from colliding.
+		r.electionTimeout = minLeaderlessElectionTicks + r.random.IntN(r.electionTicks)
 	}
 }
 
-// leaderlessTicks is the shortest election timeout where no leader is known:
-// longer than a round of votes takes.
-const leaderlessTicks = 3
+// minLeaderlessElectionTicks is the minimum election timeout, in ticks, when no
+// leader is known. It is longer than a round of votes takes.
+const minLeaderlessElectionTicks = 3
 
 func (r *Raft) becomeFollower(term, leader uint64) {
 	if term > r.term {
@@ -77,18 +77,18 @@
 	r.resetTimeout()
 }
 
-// campaign starts an election; with pre it first asks whether it could win, so
-// that a replica coming back from a cut does not depose a healthy leader by
-// its higher term.
-func (r *Raft) campaign(pre, forced bool) {
+// campaign starts an election. With preVote it first asks whether it could win,
+// so that a replica returning from a partition does not depose a healthy leader
+// with its higher term. forced marks a leadership transfer.
+func (r *Raft) campaign(preVote, forced bool) {
 	r.resetTimeout()
-	if !r.voter(r.id) {
+	if !r.isVoter(r.id) {
 		return
 	}
 	kind, term := apiv1.MessageKind_MESSAGE_KIND_VOTE, r.term+1
 	r.leader = 0
 	r.votes = map[uint64]bool{r.id: true}
-	if pre {
+	if preVote {
 		r.role = PreCandidate
 		kind = apiv1.MessageKind_MESSAGE_KIND_PRE_VOTE
 	} else {
@@ -109,7 +109,8 @@
 	}
 }
 
-// countVotes moves on when a majority granted; it reports whether it did.
+// countVotes advances to the next role if a majority has granted its vote, and
+// reports whether it did.
 func (r *Raft) countVotes() bool {
 	if !r.quorum(func(id uint64) bool { return r.votes[id] }, false) {
 		return false
@@ -127,26 +128,28 @@
 	r.heartbeatElapsed, r.electionElapsed = 0, 0
 	r.progress = map[uint64]*progress{}
 	r.syncProgress()
-	// Entries of earlier terms commit only behind one of this term (section
-	// 5.4.2); without this entry they could wait for the next proposal.
+	// Entries of earlier terms commit only together with an entry of this term
+	// (section 5.4.2); without this empty entry they would stay uncommitted until
+	// the next proposal.
 	r.appendEntry(apiv1.EntryKind_ENTRY_KIND_EMPTY, nil)
 	r.broadcastAppend()
 }
 
-// StepDown gives up leading or standing for election, for a replica that cannot
-// save what it would promise.
+// StepDown makes the replica a follower. It is used when the replica cannot
+// persist the state that leading or campaigning requires.
 func (r *Raft) StepDown() {
 	r.becomeFollower(r.term, 0)
 }
 
-// TransferLeader asks the most advanced voter to take over, for a planned stop.
+// TransferLeader asks a fully replicated voter to take over leadership before a
+// planned stop. It reports whether there was one.
 func (r *Raft) TransferLeader() bool {
 	if r.role != Leader {
 		return false
 	}
 	best := uint64(0)
 	for id, p := range r.progress {
-		if id != r.id && r.voter(id) && p.active && p.match == r.log.lastIndex() && (best == 0 || id < best) {
+		if id != r.id && r.isVoter(id) && p.active && p.match == r.log.lastIndex() && (best == 0 || id < best) {
 			best = id
 		}
 	}
--- a/core/consensus/explore_test.go
+++ b/core/consensus/explore_test.go
@@ -15,77 +15,81 @@
 )
 
 var (
-	exploreSeeds = flag.Int("explore.seeds", 300, "schedules that the explorer runs")
+	exploreSeeds = flag.Int("explore.seeds", 300, "number of schedules that the explorer runs")
 	exploreFrom  = flag.Int("explore.from", 1, "first seed of the explorer")
 )
 
 const (
-	exploreSteps = 3000
-	settleRounds = 600
-	snapshotLag  = 12
+	exploreSteps      = 3000
+	convergenceRounds = 600
+	compactionLag     = 12
 )
 
+// replica is a simulated replica. A replica that is not running has crashed; a
+// paused one runs but processes nothing.
 type replica struct {
 	id      uint64
 	raft    *Raft
 	disk    *disk
 	state   *register
 	applied uint64
-	alive   bool
-	frozen  bool
+	running bool
+	paused  bool
 }
 
+// explorer runs a random schedule of operations and faults on simulated replicas
+// and checks the safety properties of Raft.
 type explorer struct {
-	t        *testing.T
-	seed     int
-	random   *rand.Rand
-	replicas map[uint64]*replica
-	order    []uint64
-	flights  []*apiv1.RaftMessage
-	cuts     map[[2]uint64]bool
-	leaders  map[uint64]uint64
-	chosen   map[uint64]uint64
-	clock    int64
-	ops      []*operation
-	waiting  map[string]*operation
-	reads    map[uint64]*operation
-	nextRead uint64
-	nextOp   int
-	nextID   uint64
+	t               *testing.T
+	seed            int
+	random          *rand.Rand
+	replicas        map[uint64]*replica
+	replicaIDs      []uint64
+	inFlight        []*apiv1.RaftMessage
+	blockedLinks    map[[2]uint64]bool
+	leaderByTerm    map[uint64]uint64
+	committedHashes map[uint64]uint64
+	lastTimestamp   int64
+	operations      []*operation
+	pendingSubmits  map[string]*operation
+	pendingReads    map[uint64]*operation
+	lastReadContext uint64
+	lastChangeID    int
+	lastReplicaID   uint64
 }
 
 func newExplorer(t *testing.T, seed, voters int) *explorer {
-	x := &explorer{t: t, seed: seed, random: rand.New(rand.NewPCG(uint64(seed), 7)), replicas: map[uint64]*replica{}, cuts: map[[2]uint64]bool{},
-		leaders: map[uint64]uint64{}, chosen: map[uint64]uint64{}, waiting: map[string]*operation{}, reads: map[uint64]*operation{}, nextID: 100}
+	x := &explorer{t: t, seed: seed, random: rand.New(rand.NewPCG(uint64(seed), 7)), replicas: map[uint64]*replica{}, blockedLinks: map[[2]uint64]bool{},
+		leaderByTerm: map[uint64]uint64{}, committedHashes: map[uint64]uint64{}, pendingSubmits: map[string]*operation{}, pendingReads: map[uint64]*operation{}, lastReplicaID: 100}
 	founders := &apiv1.Membership{}
 	for i := 1; i <= voters; i++ {
 		founders.Members = append(founders.Members, &apiv1.Member{Id: uint64(i), Name: fmt.Sprint(i)})
 	}
 	for i := 1; i <= voters; i++ {
-		x.add(uint64(i), &disk{founders: founders})
+		x.addReplica(uint64(i), &disk{founders: founders})
 	}
 	return x
 }
 
-func (x *explorer) add(id uint64, d *disk) {
+func (x *explorer) addReplica(id uint64, d *disk) {
 	r := &replica{id: id, disk: d}
 	x.replicas[id] = r
-	x.order = append(x.order, id)
-	x.start(r)
+	x.replicaIDs = append(x.replicaIDs, id)
+	x.startReplica(r)
 }
 
-func (x *explorer) start(r *replica) {
-	r.alive, r.frozen = true, false
+func (x *explorer) startReplica(r *replica) {
+	r.running, r.paused = true, false
 	r.state = &register{outcomes: map[string]bool{}}
 	r.applied = 0
-	restored := Restored{HardState: r.disk.hard, Snapshot: r.disk.snapshot, Entries: append([]*apiv1.LogEntry(nil), r.disk.entries...), Founders: r.disk.founders}
+	restored := Restored{HardState: r.disk.hardState, Snapshot: r.disk.snapshot, Entries: append([]*apiv1.LogEntry(nil), r.disk.entries...), Founders: r.disk.founders}
 	r.raft = New(Config{ID: r.id, ElectionTicks: 10, HeartbeatTicks: 2, Rand: rand.New(rand.NewPCG(x.random.Uint64(), r.id))}, restored)
 	if s := r.disk.snapshot; s != nil {
-		x.restore(r, s)
+		x.restoreState(r, s)
 	}
 }
 
-func (x *explorer) restore(r *replica, s *apiv1.Snapshot) {
+func (x *explorer) restoreState(r *replica, s *apiv1.Snapshot) {
 	r.state = &register{outcomes: map[string]bool{}}
 	fields := strings.Split(string(s.Data), " ")
 	_, _ = fmt.Sscan(fields[0], &r.state.revision)
@@ -99,21 +103,22 @@
 	r.applied = s.Index
 }
 
-// work does one batch. A crash may strike before, amid or after the sync.
-func (x *explorer) work(r *replica, mayCrash bool) {
+// processReady processes one batch. If mayCrash is set, the replica may crash
+// before, during or after the sync.
+func (x *explorer) processReady(r *replica, mayCrash bool) {
 	rd, ok := r.raft.Ready()
 	if !ok {
 		return
 	}
 	if mayCrash && x.random.IntN(400) == 0 {
-		x.tear(r, rd)
-		r.alive = false
+		x.savePartially(r, rd)
+		r.running = false
 		return
 	}
 	r.disk.save(rd)
-	x.flights = append(x.flights, rd.Messages...)
+	x.inFlight = append(x.inFlight, rd.Messages...)
 	if rd.Snapshot != nil {
-		x.restore(r, rd.Snapshot)
+		x.restoreState(r, rd.Snapshot)
 	}
 	for _, e := range rd.Committed {
 		x.applyEntry(r, e)
@@ -123,15 +128,16 @@
 	}
 	r.raft.Advance()
 	x.checkLeader(r)
-	if r.applied > r.raft.Status().SnapshotIndex+snapshotLag {
+	if r.applied > r.raft.Status().SnapshotIndex+compactionLag {
 		if s := r.raft.Compact(r.applied, r.state.snapshot()); s != nil {
 			r.disk.compact(s)
 		}
 	}
 }
 
-// tear keeps a prefix of what was being written, as a crash amid a sync does.
-func (x *explorer) tear(r *replica, rd Ready) {
+// savePartially saves a prefix of the entries being written, as a crash during
+// a sync does.
+func (x *explorer) savePartially(r *replica, rd Ready) {
 	if rd.Snapshot != nil || len(rd.Entries) == 0 {
 		return
 	}
@@ -145,101 +151,102 @@
 	if s.Role != Leader {
 		return
 	}
-	if other, ok := x.leaders[s.Term]; ok && other != r.id {
+	if other, ok := x.leaderByTerm[s.Term]; ok && other != r.id {
 		x.t.Fatalf("seed %d: term %d has two leaders, %d and %d", x.seed, s.Term, other, r.id)
 	}
-	x.leaders[s.Term] = r.id
+	x.leaderByTerm[s.Term] = r.id
 }
 
 func (x *explorer) applyEntry(r *replica, e *apiv1.LogEntry) {
 	if e.Index != r.applied+1 {
-		x.t.Fatalf("seed %d: replica %d applied %d after %d", x.seed, r.id, e.Index, r.applied)
+		x.t.Fatalf("seed %d: replica %d applied entry %d after entry %d", x.seed, r.id, e.Index, r.applied)
 	}
 	r.applied = e.Index
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d %d %s", e.Term, e.Kind, e.Data)
-	if held, ok := x.chosen[e.Index]; ok && held != h.Sum64() {
-		x.t.Fatalf("seed %d: replica %d applied another entry at index %d than was committed", x.seed, r.id, e.Index)
+	if hash, ok := x.committedHashes[e.Index]; ok && hash != h.Sum64() {
+		x.t.Fatalf("seed %d: replica %d applied an entry at index %d that differs from the committed one", x.seed, r.id, e.Index)
 	}
-	x.chosen[e.Index] = h.Sum64()
+	x.committedHashes[e.Index] = h.Sum64()
 	if e.Kind != apiv1.EntryKind_ENTRY_KIND_CHANGE {
 		return
 	}
 	id, accepted := r.state.apply(e.Data)
-	if op := x.waiting[id]; op != nil {
-		op.finished = x.tick()
+	if op := x.pendingSubmits[id]; op != nil {
+		op.finished = x.nextTimestamp()
 		op.result = 0
 		if accepted {
 			op.result = 1
 		}
-		delete(x.waiting, id)
+		delete(x.pendingSubmits, id)
 	}
 }
 
 func (x *explorer) answerRead(r *replica, read Read) {
-	op := x.reads[read.Context]
+	op := x.pendingReads[read.Context]
 	if op == nil {
 		return
 	}
-	delete(x.reads, read.Context)
+	delete(x.pendingReads, read.Context)
 	if read.Failed || r.applied < read.Index {
 		op.unknown = true
 		return
 	}
-	op.finished = x.tick()
+	op.finished = x.nextTimestamp()
 	op.result = r.state.revision
 }
 
-func (x *explorer) tick() int64 {
-	x.clock++
-	return x.clock
+func (x *explorer) nextTimestamp() int64 {
+	x.lastTimestamp++
+	return x.lastTimestamp
 }
 
-func (x *explorer) deliver() {
-	if len(x.flights) == 0 {
+func (x *explorer) deliverRandom() {
+	if len(x.inFlight) == 0 {
 		return
 	}
-	i := x.random.IntN(min(len(x.flights), 8))
-	m := x.flights[i]
-	x.flights = append(x.flights[:i:i], x.flights[i+1:]...)
-	roll := x.random.IntN(100)
-	if x.cuts[[2]uint64{m.From, m.To}] || roll < 4 {
+	i := x.random.IntN(min(len(x.inFlight), 8))
+	m := x.inFlight[i]
+	x.inFlight = append(x.inFlight[:i:i], x.inFlight[i+1:]...)
+	draw := x.random.IntN(100)
+	if x.blockedLinks[[2]uint64{m.From, m.To}] || draw < 4 {
 		return
 	}
-	if roll < 8 {
-		x.flights = append(x.flights, m)
+	if draw < 8 {
+		x.inFlight = append(x.inFlight, m)
 	}
-	x.step(m)
+	x.deliverMessage(m)
 }
 
-func (x *explorer) step(m *apiv1.RaftMessage) {
+func (x *explorer) deliverMessage(m *apiv1.RaftMessage) {
 	r := x.replicas[m.To]
-	if r == nil || !r.alive || r.frozen {
+	if r == nil || !r.running || r.paused {
 		return
 	}
 	copied, _ := proto.Clone(m).(*apiv1.RaftMessage)
 	r.raft.Step(copied)
-	x.work(r, true)
+	x.processReady(r, true)
 }
 
-// settle heals everything and expects one leader that all members follow.
-func (x *explorer) settle() {
-	x.cuts = map[[2]uint64]bool{}
-	for _, id := range x.order {
+// heal removes all faults and checks that one leader is elected and that all
+// members converge to its state.
+func (x *explorer) heal() {
+	x.blockedLinks = map[[2]uint64]bool{}
+	for _, id := range x.replicaIDs {
 		r := x.replicas[id]
-		if !r.alive {
-			x.start(r)
+		if !r.running {
+			x.startReplica(r)
 		}
-		r.frozen = false
+		r.paused = false
 	}
-	for round := 0; round < settleRounds; round++ {
-		for _, id := range x.order {
+	for round := 0; round < convergenceRounds; round++ {
+		for _, id := range x.replicaIDs {
 			x.replicas[id].raft.Tick()
-			x.work(x.replicas[id], false)
+			x.processReady(x.replicas[id], false)
 		}
-		x.drain()
+		x.deliverAll()
 		if round%20 == 19 {
-			x.promote()
+			x.promoteReplicas()
 		}
 	}
 	leader := x.leaderReplica()
@@ -249,14 +256,14 @@
 	x.checkConverged(leader)
 }
 
-func (x *explorer) drain() {
-	for n := 0; len(x.flights) > 0 && n < 10_000; n++ {
-		m := x.flights[0]
-		x.flights = x.flights[1:]
+func (x *explorer) deliverAll() {
+	for n := 0; len(x.inFlight) > 0 && n < 10_000; n++ {
+		m := x.inFlight[0]
+		x.inFlight = x.inFlight[1:]
 		if r := x.replicas[m.To]; r != nil {
 			copied, _ := proto.Clone(m).(*apiv1.RaftMessage)
 			r.raft.Step(copied)
-			x.work(r, false)
+			x.processReady(r, false)
 		}
 	}
 }
@@ -269,37 +276,37 @@
 			continue
 		}
 		if r.applied != leader.applied || string(r.state.snapshot()) != want {
-			x.t.Fatalf("seed %d: replica %d is at %d, the leader at %d", x.seed, r.id, r.applied, leader.applied)
+			x.t.Fatalf("seed %d: replica %d has applied up to %d, the leader up to %d", x.seed, r.id, r.applied, leader.applied)
 		}
 	}
 }
 
-// Operators submit and read while replicas crash with their unsynced tail
-// gone, freeze, are cut off one way or both, lose a disk and are replaced, and
-// messages are lost, doubled and reordered. Whatever the schedule, a term has
-// one leader, a committed entry is never another one, and what operators see
-// is one sequence of revisions; after healing all replicas hold the same.
+// Operators submit changes and read while replicas crash and lose unsynced
+// entries, pause, are partitioned in one or both directions, or are replaced after
+// a disk loss, and while messages are lost, duplicated and reordered. In every
+// schedule a term has at most one leader, a committed entry never changes, and
+// the operations are linearizable; after healing all replicas hold the same state.
 func TestExploreSchedules(t *testing.T) {
 	for seed := *exploreFrom; seed < *exploreFrom+*exploreSeeds; seed++ {
 		voters := []int{1, 3, 3, 5}[seed%4]
 		x := newExplorer(t, seed, voters)
 		for i := 0; i < exploreSteps; i++ {
-			x.chaos()
+			x.randomStep()
 		}
-		x.settle()
+		x.heal()
 		x.checkLinearizable()
 	}
 }
 
-// The explorer is of use only if changes get through while it runs.
+// The explorer tests little if its faults prevent changes from being committed.
 func TestExplorerMakesProgress(t *testing.T) {
 	x := newExplorer(t, 3, 3)
 	for i := 0; i < exploreSteps; i++ {
-		x.chaos()
+		x.randomStep()
 	}
-	x.settle()
+	x.heal()
 	accepted := 0
-	for _, op := range x.ops {
+	for _, op := range x.operations {
 		if op.submit && op.result == 1 {
 			accepted++
 		}
--- a/core/consensus/log.go
+++ b/core/consensus/log.go
@@ -6,12 +6,12 @@
 	apiv1 "cactuspath/api/cactuspath/v1"
 )
 
-// raftLog is the part of the log after the last snapshot.
+// raftLog is the part of the log that follows the last snapshot.
 //
 // Invariants: snapIndex ≤ applied ≤ committed ≤ lastIndex; entries[i] has
-// index snapIndex+1+i; entries up to stable are synced by the caller. Without
-// the last one a replica could count its own unsynced entry towards a quorum
-// and forget it in a crash.
+// index snapIndex+1+i; entries up to stable have been synced by the caller.
+// Without the last one a replica could count its own unsynced entry towards a
+// quorum and lose it in a crash.
 type raftLog struct {
 	snapIndex, snapTerm uint64
 	entries             []*apiv1.LogEntry
@@ -27,7 +27,7 @@
 	return term
 }
 
-// term returns the term of the entry at index; ok is false when the entry was
+// term returns the term of the entry at index; ok is false if the entry has been
 // compacted or does not exist yet.
 func (l *raftLog) term(index uint64) (term uint64, ok bool) {
 	switch {
@@ -62,7 +62,7 @@
 	l.stable = min(l.stable, index)
 }
 
-// compact drops the entries up to index, which a snapshot now covers.
+// compact discards the entries up to index, which are covered by a snapshot.
 func (l *raftLog) compact(index uint64) {
 	if index <= l.snapIndex {
 		return
@@ -72,20 +72,20 @@
 	l.snapIndex, l.snapTerm = index, term
 }
 
-// reset replaces the log by a snapshot.
+// reset replaces the whole log with a snapshot at (index, term).
 func (l *raftLog) reset(index, term uint64) {
 	*l = raftLog{snapIndex: index, snapTerm: term, committed: index, applied: index, stable: index}
 }
 
-// upToDate tells whether a log that ends at (index, term) is at least as
-// complete as this one (section 5.4.1 of the Raft paper).
+// upToDate reports whether a log that ends at (index, term) is at least as
+// up-to-date as this one (section 5.4.1 of the Raft paper).
 func (l *raftLog) upToDate(index, term uint64) bool {
 	return term > l.lastTerm() || term == l.lastTerm() && index >= l.lastIndex()
 }
 
-// hint returns the highest index at or below index whose term is not above
-// term: where a leader should go on after a rejected append.
-func (l *raftLog) hint(index, term uint64) uint64 {
+// conflictHint returns the highest index at or below index whose term does not
+// exceed term: the point from which a leader continues after a rejected append.
+func (l *raftLog) conflictHint(index, term uint64) uint64 {
 	index = min(index, l.lastIndex())
 	for index > l.snapIndex {
 		if t, ok := l.term(index); ok && t <= term {
@@ -105,7 +105,7 @@
 	return out
 }
 
-// FindMember returns the member with the id, or nil.
+// FindMember returns the member with the given id, or nil.
 func FindMember(m *apiv1.Membership, id uint64) *apiv1.Member {
 	for _, member := range m.GetMembers() {
 		if member.Id == id {
--- a/core/consensus/members.go
+++ b/core/consensus/members.go
@@ -6,11 +6,11 @@
 	apiv1 "cactuspath/api/cactuspath/v1"
 )
 
-// Members change one at a time, and a change counts from the moment it stands
-// in the log, committed or not (section 4.1 of the thesis). Two changes at once
-// could have majorities that do not overlap.
+// Members are added and removed one at a time, and a change takes effect as soon
+// as it is in the log, committed or not (section 4.1 of the Raft thesis). Two
+// concurrent changes could have majorities that do not overlap.
 
-// AddLearner proposes a member that receives the log but does not vote.
+// AddLearner proposes a new member that receives the log but does not vote.
 func (r *Raft) AddLearner(id uint64, name, address string) (index, term uint64, err error) {
 	if FindMember(r.membership, id) != nil {
 		return 0, 0, ErrAlreadyMember
@@ -20,9 +20,9 @@
 	return r.proposeMembership(next)
 }
 
-// Promote proposes that a learner becomes a voter. A learner that lacks much
-// of the log is refused: it would count in the quorum and could not help to
-// commit, so that one more loss would stop all changes.
+// Promote proposes to turn a learner into a voter. A learner that lags far
+// behind is rejected: it would count towards the quorum without being able to
+// commit entries, so that one more failure would block all changes.
 func (r *Raft) Promote(id uint64) (index, term uint64, err error) {
 	if r.role != Leader {
 		return 0, 0, ErrNotLeader
@@ -40,7 +40,7 @@
 	return r.proposeMembership(next)
 }
 
-// Remove proposes that a member leaves.
+// Remove proposes to remove a member.
 func (r *Raft) Remove(id uint64) (index, term uint64, err error) {
 	if FindMember(r.membership, id) == nil {
 		return 0, 0, ErrUnknownMember
@@ -70,8 +70,9 @@
 		return 0, 0, ErrChangePending
 	}
 	if committedTerm, _ := r.log.term(r.log.committed); committedTerm != r.term {
-		// A change left by an earlier leader may still be uncommitted elsewhere;
-		// changing members before this term's first commit can split the quorum.
+		// A membership change by an earlier leader may still be uncommitted on
+		// another replica; a second change before the first commit of this term
+		// could produce two disjoint quorums.
 		return 0, 0, ErrNotReady
 	}
 	data, err := proto.Marshal(cloneMembership(next))
@@ -84,7 +85,8 @@
 	return e.Index, e.Term, nil
 }
 
-// loadMembership takes the newest membership in the log, or the snapshot's.
+// loadMembership loads the latest membership from the log, or else from the
+// snapshot.
 func (r *Raft) loadMembership() {
 	r.membership, r.configIndex = r.findMembership(r.log.lastIndex())
 	if r.role == Leader {
@@ -108,13 +110,13 @@
 			return m, i
 		}
 	}
-	return r.base, 0
+	return r.baseMembership, 0
 }
 
-// afterCommit lets a leader that was removed step down, once the members that
-// remain have agreed on it.
-func (r *Raft) afterCommit() {
-	if r.role == Leader && r.configIndex <= r.log.committed && !r.voter(r.id) {
+// stepDownIfRemoved makes a leader that is no longer a voter step down once the
+// remaining members have committed its removal.
+func (r *Raft) stepDownIfRemoved() {
+	if r.role == Leader && r.configIndex <= r.log.committed && !r.isVoter(r.id) {
 		r.becomeFollower(r.term, 0)
 	}
 }
--- a/core/consensus/raft.go
+++ b/core/consensus/raft.go
@@ -1,10 +1,10 @@
-// Package consensus is a replicated log: the Raft algorithm with pre-vote,
-// check-quorum, confirmed reads, snapshots, learners and one-at-a-time changes
-// of members. Names are those of the Raft paper and thesis.
+// Package consensus implements a replicated log using the Raft algorithm with
+// pre-vote, check-quorum, linearizable reads, snapshots, learners and
+// single-server membership changes. Names follow the Raft paper and thesis.
 //
-// A Raft is a pure state machine: messages, ticks and proposals go in; Ready
-// returns a batch of work (what to sync, what to send, what to apply). The
-// caller does that work in the order Ready documents and then calls Advance.
+// A Raft is a pure state machine: its inputs are messages, ticks and proposals,
+// and Ready returns a batch of work (what to sync, send and apply). The caller
+// processes the batch in the order documented on Ready and then calls Advance.
 // A Raft is not safe for concurrent use.
 package consensus
 
@@ -17,10 +17,9 @@
 	apiv1 "cactuspath/api/cactuspath/v1"
 )
 
-// Role is what a replica does in its term.
+// Role is the role of a replica in its current term.
 type Role int
 
-// Roles of a replica.
 const (
 	Follower Role = iota
 	PreCandidate
@@ -28,72 +27,77 @@
 	Leader
 )
 
-// String names the role.
+// String returns the name of the role.
 func (r Role) String() string {
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Errors of proposals. Their messages name the remedy.
+// Errors returned by proposals and reads. Each message tells the caller what to
+// do about it.
 var (
 	ErrNotLeader      = errors.New("this replica is not the leader; ask the leader")
-	ErrChangePending  = errors.New("another change of members is under way; try again when it is done")
-	ErrNotReady       = errors.New("the leader has not committed an entry of its term yet; try again in a second")
-	ErrNotCaughtUp    = errors.New("the learner has not caught up with the log; try again when it has")
-	ErrUnknownMember  = errors.New("no member has this id; look at the members in status")
+	ErrChangePending  = errors.New("another membership change is in progress; try again when it has completed")
+	ErrNotReady       = errors.New("the leader has not committed an entry in its term yet; try again in a second")
+	ErrNotCaughtUp    = errors.New("the learner has not caught up with the log; try again once it has")
+	ErrUnknownMember  = errors.New("no member has this id; check the member list in status")
 	ErrLastVoter      = errors.New("the last voter cannot be removed; add another voter first")
-	ErrAlreadyMember  = errors.New("a member has this id already; nothing to add")
-	ErrTooManyEntries = errors.New("too many proposals wait for agreement; try again in a second")
+	ErrAlreadyMember  = errors.New("a member with this id already exists; nothing to add")
+	ErrTooManyEntries = errors.New("too many uncommitted proposals; try again in a second")
 )
 
 const (
-	maxEntriesPerAppend = 64
-	maxBytesPerAppend   = 1 << 20
-	maxUncommitted      = 4096
-	// CatchUpSlack is how many entries a learner may lack when it is promoted.
+	maxEntriesPerAppend   = 64
+	maxBytesPerAppend     = 1 << 20
+	maxUncommittedEntries = 4096
+	// CatchUpSlack is the maximum number of log entries by which a learner may
+	// lag behind the leader when it is promoted.
 	CatchUpSlack = 64
-	// forcedCampaign in a vote's Hint marks a transfer the leader asked for, so
-	// that voters do not hold the election off on the leader's behalf.
+	// forcedCampaign, in the Hint of a vote request, marks a leadership transfer
+	// started by the leader: voters grant it although they still hear the leader.
 	forcedCampaign = 1
 )
 
-// Config sets up a Raft.
+// Config holds the parameters of a Raft.
 type Config struct {
 	ID uint64
-	// ElectionTicks is the shortest election timeout; the timeout drawn is
-	// between one and two of it. HeartbeatTicks must be well below.
+	// ElectionTicks is the minimum election timeout; the actual timeout is drawn
+	// at random between one and two times this value. HeartbeatTicks must be
+	// much smaller.
 	ElectionTicks, HeartbeatTicks int
 	Rand                          *rand.Rand
 }
 
-// Restored is what a replica finds on its disk.
+// Restored is the persistent state that a replica reads from disk at startup.
 type Restored struct {
 	HardState *apiv1.HardState
 	Snapshot  *apiv1.Snapshot
 	Entries   []*apiv1.LogEntry
-	// Founders is the first membership; used only when no snapshot and no
-	// entry names one.
+	// Founders is the initial membership, used only when neither the snapshot
+	// nor a log entry contains one.
 	Founders *apiv1.Membership
 }
 
+// progress is the leader's view of one member's replication state.
 type progress struct {
 	match, next uint64
-	// active: the member answered since the last check-quorum.
+	// active is set when the member has replied since the last quorum check.
 	active bool
-	// probing: one append at a time until the logs are known to agree.
+	// probing limits the leader to one append at a time until the point where
+	// the logs match is known; paused is set while that append is unanswered.
 	probing, paused bool
-	// pendingSnapshot is the index of a snapshot on its way, or 0.
+	// pendingSnapshot is the index of the snapshot being sent, or 0.
 	pendingSnapshot uint64
 	snapshotTicks   int
 	round           uint64
-	// silent counts the ticks since the member last answered.
-	silent int
+	// ticksSinceReply counts the ticks since the member's last reply.
+	ticksSinceReply int
 }
 
 type pendingRead struct {
 	context, index, round uint64
 }
 
-// Raft is one replica's state.
+// Raft is the state of one replica.
 type Raft struct {
 	id                            uint64
 	electionTicks, heartbeatTicks int
@@ -104,74 +108,77 @@
 	log        raftLog
 	snapshot   *apiv1.Snapshot
 
-	membership *apiv1.Membership
-	base       *apiv1.Membership
-	// configIndex is where the newest change of members stands in the log.
+	membership     *apiv1.Membership
+	baseMembership *apiv1.Membership
+	// configIndex is the log index of the latest membership change.
 	configIndex uint64
 
 	role             Role
 	leader           uint64
 	electionElapsed  int
 	heartbeatElapsed int
-	timeout          int
+	electionTimeout  int
 	votes            map[uint64]bool
 	progress         map[uint64]*progress
 	transferee       uint64
 
-	round      uint64
-	wantRound  bool
-	unsentRead []pendingRead
-	reads      []pendingRead
-	readyReads []Read
+	round          uint64
+	roundRequested bool
+	unsentReads    []pendingRead
+	reads          []pendingRead
+	readyReads     []Read
 
 	messages        []*apiv1.RaftMessage
 	restoreSnapshot *apiv1.Snapshot
-	inReady         Ready
+	pendingReady    Ready
 }
 
-// New restores a replica.
-func New(c Config, from Restored) *Raft {
+// New creates a replica from its persistent state.
+func New(c Config, restored Restored) *Raft {
 	r := &Raft{id: c.ID, electionTicks: c.ElectionTicks, heartbeatTicks: c.HeartbeatTicks, random: c.Rand}
-	r.base = cloneMembership(from.Founders)
-	if s := from.Snapshot; s != nil {
+	r.baseMembership = cloneMembership(restored.Founders)
+	if s := restored.Snapshot; s != nil {
 		r.log.reset(s.Index, s.Term)
-		r.base = cloneMembership(s.Membership)
+		r.baseMembership = cloneMembership(s.Membership)
 		r.snapshot = s
 	}
-	r.log.append(from.Entries...)
+	r.log.append(restored.Entries...)
 	r.log.stable = r.log.lastIndex()
-	if h := from.HardState; h != nil {
+	if h := restored.HardState; h != nil {
 		r.term, r.vote = h.Term, h.Vote
 		r.log.committed = max(r.log.committed, min(h.Commit, r.log.lastIndex()))
 	}
 	r.saved = apiv1.HardState{Term: r.term, Vote: r.vote, Commit: r.log.committed}
 	r.loadMembership()
 	r.becomeFollower(r.term, 0)
-	// After a restart of all replicas nobody leads, and a full timeout would be
-	// waited for nothing. Where a leader lives, the pre-vote fails and disturbs
-	// nobody.
-	r.timeout = 1 + r.random.IntN(r.electionTicks)
+	// After a restart of all replicas there is no leader, so waiting for a full
+	// election timeout would only delay the election. If there is a leader, the
+	// pre-vote fails without disturbing it.
+	r.electionTimeout = 1 + r.random.IntN(r.electionTicks)
 	return r
 }
 
-// Status is a view of the replica for operators and drivers.
+// Status is a snapshot of the replica's state for operators and callers.
 type Status struct {
 	ID, Term, Leader           uint64
 	Role                       Role
 	Commit, Applied, LastIndex uint64
 	SnapshotIndex              uint64
 	Membership                 *apiv1.Membership
-	// Match is each member's replicated index; leader only.
+	// Match is the highest log index known to be replicated on each member; set
+	// only on the leader.
 	Match map[uint64]uint64
-	// Silent is how many ticks ago each member last answered; leader only.
+	// Silent is the number of ticks since each member last replied; set only on
+	// the leader.
 	Silent map[uint64]int
-	// LeaderSilent is how many ticks ago a follower last heard its leader.
+	// LeaderSilent is the number of ticks since a follower last received a
+	// message from its leader.
 	LeaderSilent int
-	// ConfigCommitted: the newest change of members is agreed.
+	// ConfigCommitted reports whether the latest membership change is committed.
 	ConfigCommitted bool
 }
 
-// Voters counts the members that vote.
+// Voters returns the number of voting members.
 func (s Status) Voters() int {
 	voters := 0
 	for _, m := range s.Membership.GetMembers() {
@@ -182,7 +189,7 @@
 	return voters
 }
 
-// Status returns the replica's view.
+// Status returns the current state of the replica.
 func (r *Raft) Status() Status {
 	s := Status{ID: r.id, Term: r.term, Leader: r.leader, Role: r.role, Commit: r.log.committed, Applied: r.log.applied,
 		LastIndex: r.log.lastIndex(), SnapshotIndex: r.log.snapIndex, Membership: r.membership,
@@ -192,29 +199,29 @@
 		for id, p := range r.progress {
 			s.Match[id] = p.match
 			if id != r.id {
-				s.Silent[id] = p.silent
+				s.Silent[id] = p.ticksSinceReply
 			}
 		}
 	}
 	return s
 }
 
-// Tick advances the replica's clock by one tick.
+// Tick advances the replica's logical clock by one tick.
 func (r *Raft) Tick() {
 	r.electionElapsed++
 	if r.role == Leader {
 		r.tickLeader()
 		return
 	}
-	if r.electionElapsed >= r.timeout {
+	if r.electionElapsed >= r.electionTimeout {
 		r.electionElapsed = 0
 		r.campaign(true, false)
 	}
 }
 
-// tickSnapshot gives a snapshot up when no answer came, so that a lost message
-// does not leave the member without updates for ever.
-func (r *Raft) tickSnapshot(p *progress) {
+// expireSnapshot abandons a snapshot transfer that has not been acknowledged in
+// time, so that a lost message does not block replication to the member forever.
+func (r *Raft) expireSnapshot(p *progress) {
 	if p.pendingSnapshot == 0 {
 		return
 	}
@@ -226,13 +233,13 @@
 }
 
 func (r *Raft) failReads() {
-	for _, p := range append(r.unsentRead, r.reads...) {
+	for _, p := range append(r.unsentReads, r.reads...) {
 		r.readyReads = append(r.readyReads, Read{Context: p.context, Failed: true})
 	}
-	r.unsentRead, r.reads, r.wantRound = nil, nil, false
+	r.unsentReads, r.reads, r.roundRequested = nil, nil, false
 }
 
-// syncProgress makes progress cover exactly the members.
+// syncProgress adds and removes progress records to match the membership.
 func (r *Raft) syncProgress() {
 	for id := range r.progress {
 		if FindMember(r.membership, id) == nil {
@@ -255,13 +262,13 @@
 	return e
 }
 
-// Propose appends data to the leader's log and returns where. The entry is
-// agreed on only when it comes back in Ready.Committed with the same term.
+// Propose appends data to the leader's log and returns its index and term. The
+// entry is committed only once it is returned in Ready.Committed with that term.
 func (r *Raft) Propose(data []byte) (index, term uint64, err error) {
 	if r.role != Leader || r.transferee != 0 {
 		return 0, 0, ErrNotLeader
 	}
-	if r.log.lastIndex()-r.log.committed >= maxUncommitted {
+	if r.log.lastIndex()-r.log.committed >= maxUncommittedEntries {
 		return 0, 0, ErrTooManyEntries
 	}
 	e := r.appendEntry(apiv1.EntryKind_ENTRY_KIND_CHANGE, data)
@@ -269,18 +276,18 @@
 	return e.Index, e.Term, nil
 }
 
-// Read asks for a confirmed read. The answer comes in Ready.Reads.
+// Read requests a linearizable read. The result is returned in Ready.Reads.
 func (r *Raft) Read(context uint64) error {
 	if r.role != Leader {
 		return ErrNotLeader
 	}
 	if term, _ := r.log.term(r.log.committed); term != r.term {
 		// Until an entry of its own term commits, a new leader does not know
-		// how far the log was committed and could answer with the past.
+		// how far the log is committed and could return stale data.
 		return ErrNotReady
 	}
-	r.unsentRead = append(r.unsentRead, pendingRead{context: context, index: r.log.committed})
-	r.wantRound = true
+	r.unsentReads = append(r.unsentReads, pendingRead{context: context, index: r.log.committed})
+	r.roundRequested = true
 	return nil
 }
 
--- a/core/consensus/ready.go
+++ b/core/consensus/ready.go
@@ -7,7 +7,7 @@
 // Ready is a batch of work. The caller must, in this order: save Snapshot,
 // append Entries, save HardState, sync if MustSync, send Messages, restore the
 // state machine from Snapshot, apply Committed, answer Reads, call Advance.
-// Messages sent before the sync would promise what a crash can take back.
+// Messages sent before the sync would acknowledge state that a crash can lose.
 type Ready struct {
 	Snapshot  *apiv1.Snapshot
 	Entries   []*apiv1.LogEntry
@@ -18,17 +18,18 @@
 	Reads     []Read
 }
 
-// Read is a confirmed read: once the state machine has applied Index, it may
-// answer the request that Context names. Failed reads must be asked again.
+// Read is the result of a read request: once the state machine has applied
+// Index, it may answer the request identified by Context. If Failed is set, the
+// read was not confirmed and must be requested again.
 type Read struct {
 	Context uint64
 	Index   uint64
 	Failed  bool
 }
 
-// Ready returns the work that is due; ok is false when there is none.
+// Ready returns the pending work; ok is false if there is none.
 func (r *Raft) Ready() (rd Ready, ok bool) {
-	if r.wantRound && r.role == Leader {
+	if r.roundRequested && r.role == Leader {
 		r.broadcastHeartbeat()
 	}
 	rd.Snapshot = r.restoreSnapshot
@@ -41,15 +42,15 @@
 	rd.Messages = r.messages
 	rd.Committed = r.log.slice(r.log.applied, r.log.committed)
 	rd.Reads = r.readyReads
-	r.inReady = rd
+	r.pendingReady = rd
 	ok = rd.HardState != nil || rd.MustSync || len(rd.Messages) > 0 || len(rd.Committed) > 0 || len(rd.Reads) > 0
 	return rd, ok
 }
 
-// Advance tells that the work of the last Ready is done.
+// Advance reports that the work returned by the last Ready has been done.
 func (r *Raft) Advance() {
-	rd := r.inReady
-	r.inReady = Ready{}
+	rd := r.pendingReady
+	r.pendingReady = Ready{}
 	if rd.HardState != nil {
 		r.saved = apiv1.HardState{Term: rd.HardState.Term, Vote: rd.HardState.Vote, Commit: rd.HardState.Commit}
 	}
@@ -75,7 +76,9 @@
 	}
 }
 
-// Compact drops the log up to index, which data covers. Index must be applied.
+// Compact discards the log up to index and returns a snapshot that replaces it,
+// with data as the state machine at index. It returns nil unless index is
+// applied and newer than the last snapshot.
 func (r *Raft) Compact(index uint64, data []byte) *apiv1.Snapshot {
 	if index <= r.log.snapIndex || index > r.log.applied {
 		return nil
@@ -83,13 +86,13 @@
 	membership := r.membershipAt(index)
 	term, _ := r.log.term(index)
 	r.snapshot = &apiv1.Snapshot{Index: index, Term: term, Membership: membership, Data: data}
-	r.base = membership
+	r.baseMembership = membership
 	r.log.compact(index)
 	return r.snapshot
 }
 
-// EntriesAfter returns the synced entries above index, for rewriting the log
-// on disk. The caller must not modify them.
+// EntriesAfter returns the synced entries above index, for rewriting the log on
+// disk. The caller must not modify them.
 func (r *Raft) EntriesAfter(index uint64) []*apiv1.LogEntry {
 	return r.log.slice(index, r.log.stable)
 }
--- a/core/consensus/register_test.go
+++ b/core/consensus/register_test.go
@@ -7,8 +7,9 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// register is the state machine under test: a revision that a change moves on
-// only from the base it names, with the outcome of every change remembered.
+// register is the replicated state machine of the tests: a revision that a change
+// increments only if it names the current revision as its base. The outcome of
+// every change is stored, so that a resubmitted change has the same outcome.
 type register struct {
 	revision uint64
 	outcomes map[string]bool
@@ -41,6 +42,7 @@
 	return []byte(text)
 }
 
+// operation is one submit or read, as recorded in the client's history.
 type operation struct {
 	client   int
 	submit   bool
@@ -48,12 +50,12 @@
 	base     uint64
 	started  int64
 	finished int64
-	// result: the revision read, or 1 for accepted.
+	// result is the revision read or, for a submit, 1 if it was accepted.
 	result  uint64
 	unknown bool
 }
 
-// registerModel is the sequential history that operators may observe.
+// registerModel is the sequential specification for the linearizability check.
 var registerModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
@@ -80,7 +82,7 @@
 
 func (x *explorer) checkLinearizable() {
 	var history []porcupine.Operation
-	for _, op := range x.ops {
+	for _, op := range x.operations {
 		if op.finished == 0 {
 			if !op.submit {
 				continue
--- a/core/consensus/step.go
+++ b/core/consensus/step.go
@@ -4,32 +4,32 @@
 	apiv1 "cactuspath/api/cactuspath/v1"
 )
 
-// Step takes in a message from another replica.
+// Step processes a message from another replica.
 func (r *Raft) Step(m *apiv1.RaftMessage) {
 	if m.To != r.id {
-		// Addressed to the replica whose disk was replaced: this one must not
-		// answer for it, or it would vote as its former self.
+		// The message is for the replica that this one replaced after losing its
+		// disk. Answering could cast a second vote under the old ID.
 		return
 	}
 	switch {
 	case m.Term > r.term:
-		if !r.admitTerm(m) {
+		if !r.handleNewerTerm(m) {
 			return
 		}
 	case m.Term < r.term:
-		r.answerStale(m)
+		r.replyToStaleTerm(m)
 		return
 	}
 	r.dispatch(m)
 }
 
-// admitTerm handles a message of a newer term; it reports whether the message
-// is to be processed further.
-func (r *Raft) admitTerm(m *apiv1.RaftMessage) bool {
+// handleNewerTerm updates the term for a message with a newer one, and reports
+// whether the message should be processed further.
+func (r *Raft) handleNewerTerm(m *apiv1.RaftMessage) bool {
 	switch m.Kind {
 	case apiv1.MessageKind_MESSAGE_KIND_PRE_VOTE, apiv1.MessageKind_MESSAGE_KIND_VOTE:
-		// While the leader is heard, a newer term comes from a replica that was
-		// cut off or removed; following it would depose a healthy leader.
+		// While messages from the leader arrive, a newer term comes from a replica
+		// that was partitioned or removed; adopting it would depose a healthy leader.
 		if m.Hint != forcedCampaign && r.leader != 0 && r.electionElapsed < r.electionTicks {
 			return false
 		}
@@ -48,9 +48,9 @@
 	return true
 }
 
-// answerStale tells the sender of an older term about the newer one, so that a
-// leader which was cut off learns that it was replaced.
-func (r *Raft) answerStale(m *apiv1.RaftMessage) {
+// replyToStaleTerm informs the sender of a message with an older term of the
+// current one, so that a partitioned leader learns that it was replaced.
+func (r *Raft) replyToStaleTerm(m *apiv1.RaftMessage) {
 	switch m.Kind {
 	case apiv1.MessageKind_MESSAGE_KIND_APPEND, apiv1.MessageKind_MESSAGE_KIND_HEARTBEAT, apiv1.MessageKind_MESSAGE_KIND_SNAPSHOT:
 		r.send(&apiv1.RaftMessage{Kind: apiv1.MessageKind_MESSAGE_KIND_APPEND_REPLY, To: m.From, Reject: true, Hint: r.log.committed})
@@ -62,20 +62,20 @@
 func (r *Raft) dispatch(m *apiv1.RaftMessage) {
 	switch m.Kind {
 	case apiv1.MessageKind_MESSAGE_KIND_PRE_VOTE, apiv1.MessageKind_MESSAGE_KIND_VOTE:
-		r.handleVote(m)
+		r.handleVoteRequest(m)
 	case apiv1.MessageKind_MESSAGE_KIND_PRE_VOTE_REPLY:
 		r.handleVoteReply(m, PreCandidate)
 	case apiv1.MessageKind_MESSAGE_KIND_VOTE_REPLY:
 		r.handleVoteReply(m, Candidate)
 	case apiv1.MessageKind_MESSAGE_KIND_APPEND:
-		r.heardLeader(m)
+		r.recordLeaderContact(m)
 		r.handleAppend(m)
 	case apiv1.MessageKind_MESSAGE_KIND_HEARTBEAT:
-		r.heardLeader(m)
+		r.recordLeaderContact(m)
 		r.log.committed = max(r.log.committed, min(m.Commit, r.log.lastIndex()))
 		r.send(&apiv1.RaftMessage{Kind: apiv1.MessageKind_MESSAGE_KIND_HEARTBEAT_REPLY, To: m.From, Round: m.Round})
 	case apiv1.MessageKind_MESSAGE_KIND_SNAPSHOT:
-		r.heardLeader(m)
+		r.recordLeaderContact(m)
 		r.handleSnapshot(m)
 	case apiv1.MessageKind_MESSAGE_KIND_APPEND_REPLY:
 		r.handleAppendReply(m)
@@ -88,14 +88,14 @@
 	}
 }
 
-func (r *Raft) heardLeader(m *apiv1.RaftMessage) {
+func (r *Raft) recordLeaderContact(m *apiv1.RaftMessage) {
 	if r.role != Follower || r.leader != m.From {
 		r.becomeFollower(m.Term, m.From)
 	}
 	r.electionElapsed = 0
 }
 
-func (r *Raft) handleVote(m *apiv1.RaftMessage) {
+func (r *Raft) handleVoteRequest(m *apiv1.RaftMessage) {
 	reply := &apiv1.RaftMessage{To: m.From, Term: m.Term, Kind: apiv1.MessageKind_MESSAGE_KIND_PRE_VOTE_REPLY}
 	upToDate := r.log.upToDate(m.Index, m.LogTerm)
 	if m.Kind == apiv1.MessageKind_MESSAGE_KIND_PRE_VOTE {
@@ -106,8 +106,8 @@
 		return
 	}
 	reply.Kind = apiv1.MessageKind_MESSAGE_KIND_VOTE_REPLY
-	free := r.vote == 0 && r.leader == 0
-	if (free || r.vote == m.From) && upToDate {
+	canVote := r.vote == 0 && r.leader == 0
+	if (canVote || r.vote == m.From) && upToDate {
 		r.vote = m.From
 		r.electionElapsed = 0
 	} else {
@@ -117,7 +117,7 @@
 }
 
 func (r *Raft) handleVoteReply(m *apiv1.RaftMessage, role Role) {
-	if r.role != role || !r.voter(m.From) {
+	if r.role != role || !r.isVoter(m.From) {
 		return
 	}
 	r.votes[m.From] = !m.Reject
@@ -138,21 +138,21 @@
 	}
 	if term, ok := r.log.term(m.Index); !ok || term != m.LogTerm {
 		reply.Reject, reply.Index = true, m.Index
-		reply.Hint = r.log.hint(m.Index, m.LogTerm)
+		reply.Hint = r.log.conflictHint(m.Index, m.LogTerm)
 		r.send(reply)
 		return
 	}
-	r.takeEntries(m.Entries)
+	r.appendMissing(m.Entries)
 	last := m.Index + uint64(len(m.Entries))
 	r.log.committed = max(r.log.committed, min(m.Commit, last))
 	reply.Index = last
 	r.send(reply)
 }
 
-// takeEntries appends what is new and removes what conflicts. Entries that are
-// held already stay: a delayed message must not cut off a longer log that was
-// acknowledged since.
-func (r *Raft) takeEntries(entries []*apiv1.LogEntry) {
+// appendMissing appends new entries and truncates conflicting ones. Entries
+// already in the log are kept: a delayed message must not truncate a longer log
+// that has been acknowledged since.
+func (r *Raft) appendMissing(entries []*apiv1.LogEntry) {
 	for i, e := range entries {
 		if term, ok := r.log.term(e.Index); ok && term == e.Term {
 			continue
@@ -175,9 +175,9 @@
 		return
 	}
 	if term, ok := r.log.term(s.Index); ok && term == s.Term {
-		// The log reaches past the snapshot already. Resetting it would drop
-		// entries that this replica acknowledged: a late or doubled snapshot
-		// could then take a committed entry off the majority that holds it.
+		// The log already extends to or past the snapshot. Resetting it would
+		// discard entries that this replica acknowledged: a delayed or duplicated
+		// snapshot could then remove a committed entry from its majority.
 		r.log.committed = s.Index
 		reply.Index = s.Index
 		r.send(reply)
@@ -185,7 +185,7 @@
 	}
 	r.log.reset(s.Index, s.Term)
 	r.snapshot, r.restoreSnapshot = s, s
-	r.base = cloneMembership(s.Membership)
+	r.baseMembership = cloneMembership(s.Membership)
 	r.loadMembership()
 	reply.Index = s.Index
 	r.send(reply)
@@ -196,7 +196,7 @@
 	if r.role != Leader || p == nil {
 		return
 	}
-	p.active, p.silent = true, 0
+	p.active, p.ticksSinceReply = true, 0
 	if m.Reject {
 		if m.Index != 0 && (p.probing && m.Index == p.next-1 || !p.probing && m.Index > p.match) {
 			p.next = max(p.match+1, min(m.Hint+1, m.Index))
@@ -228,20 +228,20 @@
 	if r.role != Leader || p == nil {
 		return
 	}
-	p.active, p.silent = true, 0
+	p.active, p.ticksSinceReply = true, 0
 	p.paused = false
 	p.round = max(p.round, m.Round)
 	if p.match < r.log.lastIndex() {
 		if !p.probing && p.next > p.match+1 {
-			// The append may have been lost; start again from what is known.
+			// The append may have been lost; resend from the last known match.
 			p.next = p.match + 1
 		}
 		r.sendAppend(m.From)
 	}
-	r.releaseReads()
+	r.confirmReads()
 }
 
-func (r *Raft) releaseReads() {
+func (r *Raft) confirmReads() {
 	for len(r.reads) > 0 {
 		first := r.reads[0]
 		if !r.quorum(func(id uint64) bool {
@@ -256,22 +256,22 @@
 
 func (r *Raft) broadcastHeartbeat() {
 	r.round++
-	r.wantRound = false
-	for _, p := range r.unsentRead {
+	r.roundRequested = false
+	for _, p := range r.unsentReads {
 		p.round = r.round
 		r.reads = append(r.reads, p)
 	}
-	r.unsentRead = nil
+	r.unsentReads = nil
 	for _, m := range r.membership.Members {
 		p := r.progress[m.Id]
 		if m.Id == r.id || p == nil {
 			continue
 		}
-		// Commit is bounded by what the member is known to hold: beyond it, its
-		// log may still differ from the leader's.
+		// Commit is limited to the member's known match index: beyond it, its log
+		// may still differ from the leader's.
 		r.send(&apiv1.RaftMessage{Kind: apiv1.MessageKind_MESSAGE_KIND_HEARTBEAT, To: m.Id, Commit: min(p.match, r.log.committed), Round: r.round})
 	}
-	r.releaseReads()
+	r.confirmReads()
 }
 
 func (r *Raft) broadcastAppend() {
@@ -293,7 +293,7 @@
 		r.sendSnapshot(to, p)
 		return
 	}
-	entries := bounded(r.log.slice(prev, min(r.log.lastIndex(), prev+maxEntriesPerAppend)))
+	entries := limitAppendBytes(r.log.slice(prev, min(r.log.lastIndex(), prev+maxEntriesPerAppend)))
 	r.send(&apiv1.RaftMessage{Kind: apiv1.MessageKind_MESSAGE_KIND_APPEND, To: to, Index: prev, LogTerm: term, Entries: entries, Commit: r.log.committed})
 	if p.probing {
 		p.paused = true
@@ -302,7 +302,9 @@
 	}
 }
 
-func bounded(entries []*apiv1.LogEntry) []*apiv1.LogEntry {
+// limitAppendBytes returns the entries that fit into maxBytesPerAppend, but at
+// least one.
+func limitAppendBytes(entries []*apiv1.LogEntry) []*apiv1.LogEntry {
 	size := 0
 	for i, e := range entries {
 		size += len(e.Data)
@@ -323,16 +325,17 @@
 	r.send(m)
 }
 
-// maybeCommit advances the commit index to what a majority of voters holds.
-// Only an entry of the leader's own term is counted (section 5.4.2): an older
-// one, though on a majority, could still be overwritten by another leader.
+// maybeCommit advances the commit index to the highest entry replicated on a
+// majority of voters. Only entries of the leader's own term count (section
+// 5.4.2): an older entry, even on a majority, could still be overwritten by
+// another leader.
 func (r *Raft) maybeCommit() bool {
 	index := r.majorityMatch()
 	if term, ok := r.log.term(index); !ok || term != r.term || index <= r.log.committed {
 		return false
 	}
 	r.log.committed = index
-	r.afterCommit()
+	r.stepDownIfRemoved()
 	return true
 }
 
@@ -342,9 +345,9 @@
 		if m.Learner || r.progress[m.Id] == nil {
 			continue
 		}
-		at := r.progress[m.Id].match
-		if at > best && r.quorum(func(id uint64) bool { return r.progress[id] != nil && r.progress[id].match >= at }, false) {
-			best = at
+		index := r.progress[m.Id].match
+		if index > best && r.quorum(func(id uint64) bool { return r.progress[id] != nil && r.progress[id].match >= index }, false) {
+			best = index
 		}
 	}
 	return best
