--- a/core/directory/detect.go
+++ b/core/directory/detect.go
@@ -10,102 +10,106 @@
 	apiv1 "cactuspath/api/cactuspath/v1"
 )
 
-// Probe asks the driver to check a silent node: directly, or through another
-// node when Via is not empty.
+// Probe asks the caller to check a silent node, directly or, if Via is set,
+// indirectly through another node.
 type Probe struct {
 	Host, PeerAddress string
 	Via               string
 }
 
-// Work is what a tick asks of the driver.
+// Work is the network work that a tick asks the caller to do.
 type Work struct {
 	Probes []Probe
 	Pulls  []Pull
 }
 
-type watch struct {
-	heard     time.Duration
-	probed    time.Duration
-	suspected bool
-	report    *apiv1.NodeReport
+// watchedNode is the failure-detection state of a node that this relay monitors.
+type watchedNode struct {
+	lastHeard  time.Duration
+	lastProbed time.Duration
+	suspected  bool
+	report     *apiv1.NodeReport
 }
 
-func (r *Relay) hear(now time.Duration, host string) *watch {
+func (r *Relay) recordContact(now time.Duration, host string) *watchedNode {
 	w := r.watched[host]
 	if w == nil {
-		w = &watch{}
+		w = &watchedNode{}
 		r.watched[host] = w
 	}
 	if w.suspected {
 		r.FalseAlarms++
 	}
-	w.heard, w.suspected = now, false
+	w.lastHeard, w.suspected = now, false
 	return w
 }
 
-// Tick moves failure detection on and returns what is to be sent.
+// Tick advances failure detection and returns the requests to send.
 func (r *Relay) Tick(now time.Duration) Work {
-	if gap := now - r.lastTick; gap > tickStall {
-		// This process was stopped (suspended, or starved by a neighbour).
-		// Its own silence must not count as the nodes': it would mark a whole
-		// data centre failed at the moment it wakes.
-		r.creditStall(gap)
+	if gap := now - r.lastTick; gap > stallThreshold {
+		// This process was suspended or starved of CPU by another process. The
+		// gap must not count as silence of the nodes, or the relay would mark a
+		// whole data centre failed when it resumes.
+		r.compensateStall(gap)
 	}
 	r.lastTick = now
 	var work Work
-	r.adopt(now)
-	r.detect(now, &work)
-	r.plan(now, &work)
-	r.expire(now)
+	r.takeOver(now)
+	r.detectFailures(now, &work)
+	r.planPulls(now, &work)
+	r.expireTombstones(now)
 	return work
 }
 
-func (r *Relay) creditStall(gap time.Duration) {
+func (r *Relay) compensateStall(gap time.Duration) {
 	r.lastContact += gap
 	for _, w := range r.watched {
-		w.heard += gap
+		w.lastHeard += gap
 	}
 	for _, p := range r.peers {
-		p.heard += gap
+		p.lastHeard += gap
 	}
 }
 
-// adopt watches the nodes whose relay is gone. Live relays agree on who does
-// it by rendezvous; a node that found another relay says so in its entry.
-func (r *Relay) adopt(now time.Duration) {
-	live := r.liveSiblings(now)
-	for host := range r.own {
+// takeOver starts to monitor nodes whose relay has failed. The live relays choose
+// which one does so by rendezvous hashing; a node that has found another relay
+// names it in its entry.
+func (r *Relay) takeOver(now time.Duration) {
+	live := r.liveLocalRelays(now)
+	for host := range r.localHosts {
 		e := r.table.Get(host)
 		if Gone(e) || r.watched[host] != nil || slices.Contains(live, e.Relay) {
 			continue
 		}
 		if Rendezvous(host, live)[0] == r.self.Host {
-			r.watched[host] = &watch{heard: now + adoptAfter - suspectAfter}
+			r.watched[host] = &watchedNode{lastHeard: now + takeoverAfter - suspectAfter}
 		}
 	}
 }
 
-// detect probes silent nodes and marks those failed that no probe reached.
-func (r *Relay) detect(now time.Duration, work *Work) {
+// detectFailures probes silent nodes and marks failed those that no probe reached.
+// It marks none while this relay hears from nobody: the relay itself is then
+// probably partitioned, and others can judge better.
+func (r *Relay) detectFailures(now time.Duration, work *Work) {
 	for _, host := range slices.Sorted(maps.Keys(r.watched)) {
 		w := r.watched[host]
-		silence := now - w.heard
+		silence := now - w.lastHeard
 		if silence < suspectAfter {
 			continue
 		}
 		w.suspected = true
 		if silence >= confirmAfter && now-r.lastContact < suspectAfter {
-			r.fail(now, host)
+			r.markFailed(now, host)
 			continue
 		}
-		if now-w.probed >= probeInterval {
-			w.probed = now
-			r.probe(host, work)
+		if now-w.lastProbed >= probeInterval {
+			w.lastProbed = now
+			r.addProbes(host, work)
 		}
 	}
 }
 
-func (r *Relay) probe(host string, work *Work) {
+func (r *Relay) addProbes(host string, work *Work) {
 	e := r.table.Get(host)
 	if e == nil {
 		delete(r.watched, host)
@@ -117,8 +121,9 @@
 	}
 }
 
-// helper picks a node of this data centre that was heard lately, to probe from
-// another place: a cut between the relay and one node is no failure of it.
+// helper returns the address of a node of this data centre with recent contact, for
+// an indirect probe: a broken link between the relay and one node is not a failure
+// of that node. It returns "" if there is none.
 func (r *Relay) helper(suspect string) string {
 	var names []string
 	for host, w := range r.watched {
@@ -133,7 +138,7 @@
 	return r.table.Get(best).GetPeerAddress()
 }
 
-// Probed takes in the outcome of a probe.
+// Probed processes the result of a probe.
 func (r *Relay) Probed(now time.Duration, host string, incarnation uint64, ok bool) {
 	e := r.table.Get(host)
 	if !ok || e == nil || r.watched[host] == nil {
@@ -141,13 +146,12 @@
 	}
 	r.lastContact = now
 	if e.Incarnation == incarnation {
-		r.hear(now, host)
+		r.recordContact(now, host)
 	}
 }
 
-// fail marks a node failed. It is not done while this relay hears nobody at
-// all: then the relay itself is cut off, and the others can judge better.
-func (r *Relay) fail(now time.Duration, host string) {
+// markFailed marks a node failed.
+func (r *Relay) markFailed(now time.Duration, host string) {
 	e := r.table.Get(host)
 	if e == nil || Gone(e) {
 		delete(r.watched, host)
@@ -163,13 +167,13 @@
 	return changed
 }
 
-// expire forgets entries that have been gone for long.
-func (r *Relay) expire(now time.Duration) {
-	for host, since := range r.gone {
-		if now-since > goneKept {
-			r.table.Forget(host)
-			delete(r.gone, host)
-			delete(r.own, host)
+// expireTombstones deletes tombstones older than tombstoneRetention.
+func (r *Relay) expireTombstones(now time.Duration) {
+	for host, since := range r.tombstones {
+		if now-since > tombstoneRetention {
+			r.table.Delete(host)
+			delete(r.tombstones, host)
+			delete(r.localHosts, host)
 		}
 	}
 }
--- a/core/directory/directory_test.go
+++ b/core/directory/directory_test.go
@@ -13,82 +13,82 @@
 )
 
 const (
-	step    = HeartbeatInterval / 2
-	failed  = apiv1.EndpointState_ENDPOINT_STATE_FAILED
-	serving = apiv1.EndpointState_ENDPOINT_STATE_SERVING
+	simulationStep = HeartbeatInterval / 2
+	failed         = apiv1.EndpointState_ENDPOINT_STATE_FAILED
+	serving        = apiv1.EndpointState_ENDPOINT_STATE_SERVING
 )
 
-// Nodes of two data centres start together. Every relay comes to hold every
-// entry, and nobody is suspected.
+// The nodes of two data centres start together. Every relay must receive every
+// entry without marking any node failed.
 func TestEveryRelayLearnsEveryEntry(t *testing.T) {
-	w := newWorld(t)
-	w.center("a", 20, 3)
-	w.center("b", 15, 2)
-	w.run(10 * time.Second)
-	for _, r := range w.hosts {
-		assert.Equal(t, w.count(r, "a", serving), 20)
-		assert.Equal(t, w.count(r, "b", serving), 15)
-		assert.Equal(t, w.relays[r].Failures, uint64(0))
-		assert.Assert(t, w.relays[r].Ready(w.now))
+	s := newSimulation(t)
+	s.addDataCenter("a", 20, 3)
+	s.addDataCenter("b", 15, 2)
+	s.run(10 * time.Second)
+	for _, r := range s.relayHosts {
+		assert.Equal(t, s.countEntries(r, "a", serving), 20)
+		assert.Equal(t, s.countEntries(r, "b", serving), 15)
+		assert.Equal(t, s.relays[r].Failures, uint64(0))
+		assert.Assert(t, s.relays[r].Ready(s.now))
 	}
 }
 
-// Half of a data centre loses power, relays among it. The others must notice
-// within seconds, and mark nobody else.
-func TestHalfADataCentreKilledAtOnce(t *testing.T) {
-	w := newWorld(t)
-	w.center("a", 40, 4)
-	w.center("b", 10, 2)
-	w.run(10 * time.Second)
+// Half of a data centre, including relays, fails at once. The remaining relays must
+// detect it within seconds and mark no other node failed.
+func TestHalfOfDataCentreFails(t *testing.T) {
+	s := newSimulation(t)
+	s.addDataCenter("a", 40, 4)
+	s.addDataCenter("b", 10, 2)
+	s.run(10 * time.Second)
 	for i := 0; i < 40; i += 2 {
-		w.nodes[fmt.Sprintf("a-%d", i)].alive = false
+		s.nodes[fmt.Sprintf("a-%d", i)].alive = false
 	}
-	w.run(20 * time.Second)
+	s.run(20 * time.Second)
 	for _, r := range []string{"a-1", "a-3", "b-0", "b-1"} {
-		assert.Equal(t, w.count(r, "a", failed), 20, r)
-		assert.Equal(t, w.count(r, "a", serving), 20, r)
-		assert.Equal(t, w.count(r, "b", serving), 10, r)
+		assert.Equal(t, s.countEntries(r, "a", failed), 20, r)
+		assert.Equal(t, s.countEntries(r, "a", serving), 20, r)
+		assert.Equal(t, s.countEntries(r, "b", serving), 10, r)
 	}
 }
 
-// A relay is cut off with a stale table while a node fails and is marked so on
-// the other side. After an hour the cut ends: the dead entry must not come back
-// through the relay that missed its end.
-func TestDeadEntryDoesNotReturnAfterACut(t *testing.T) {
-	w := newWorld(t)
-	w.center("a", 12, 3)
-	w.center("b", 6, 2)
-	w.run(10 * time.Second)
-	w.cut = func(from, to string) bool { return (from == "a-2") != (to == "a-2") }
-	w.nodes["a-7"].alive = false
-	w.run(time.Hour)
-	assert.Equal(t, w.count("a-0", "a", failed) >= 1, true)
-	w.cut = func(string, string) bool { return false }
-	w.run(15 * time.Second)
-	for _, r := range w.hosts {
-		e := w.relays[r].Table().Get("a-7")
+// A relay is partitioned for an hour, during which a node fails and is marked
+// failed on the other side. When the partition heals, the relay's stale table must
+// not bring the failed entry back.
+func TestFailedEntryDoesNotReturnAfterPartition(t *testing.T) {
+	s := newSimulation(t)
+	s.addDataCenter("a", 12, 3)
+	s.addDataCenter("b", 6, 2)
+	s.run(10 * time.Second)
+	s.blocked = func(from, to string) bool { return (from == "a-2") != (to == "a-2") }
+	s.nodes["a-7"].alive = false
+	s.run(time.Hour)
+	assert.Equal(t, s.countEntries("a-0", "a", failed) >= 1, true)
+	s.blocked = func(string, string) bool { return false }
+	s.run(15 * time.Second)
+	for _, r := range s.relayHosts {
+		e := s.relays[r].Table().Get("a-7")
 		assert.Equal(t, e.State, failed, r)
-		assert.Equal(t, w.count(r, "a", serving), 11, r)
+		assert.Equal(t, s.countEntries(r, "a", serving), 11, r)
 	}
 }
 
-// A relay is frozen for a minute and comes back. To it, all its nodes seem
-// silent; marking them failed would take a data centre out of service.
-func TestFrozenRelayMarksNobodyFailed(t *testing.T) {
-	w := newWorld(t)
-	w.center("a", 20, 1)
-	w.run(10 * time.Second)
-	w.frozen["a-0"] = true
-	w.run(time.Minute)
-	w.frozen["a-0"] = false
-	w.run(20 * time.Second)
-	assert.Equal(t, w.relays["a-0"].Failures, uint64(0))
-	assert.Equal(t, w.count("a-0", "a", serving), 20)
+// A relay is paused for a minute. When it resumes, all its nodes appear silent to
+// it; marking them failed would take a data centre out of service.
+func TestPausedRelayMarksNoNodeFailed(t *testing.T) {
+	s := newSimulation(t)
+	s.addDataCenter("a", 20, 1)
+	s.run(10 * time.Second)
+	s.paused["a-0"] = true
+	s.run(time.Minute)
+	s.paused["a-0"] = false
+	s.run(20 * time.Second)
+	assert.Equal(t, s.relays["a-0"].Failures, uint64(0))
+	assert.Equal(t, s.countEntries("a-0", "a", serving), 20)
 }
 
-// A relay wakes after a minute. One node's heartbeat is the first thing it sees,
-// so that it is not isolated; the others have had no time to report yet. They
-// must not be marked failed for the time that the relay itself was stopped.
+// A relay resumes after a minute and first receives one node's heartbeat, so that
+// it does not count as isolated. The other nodes have had no time to report yet and
+// must not be marked failed for the time that the relay itself was paused.
 func TestWakingRelayWaitsForItsNodes(t *testing.T) {
 	r := NewRelay(&apiv1.RelayInfo{Host: "r", DataCenter: "x"}, 1, 0)
 	for i := range 3 {
@@ -104,16 +104,17 @@
 	assert.Equal(t, r.Failures, uint64(0))
 }
 
-// A relay answers one of another data centre with its own entries only: others
-// it has from hearsay, and an entry that died meanwhile could come back by it.
+// A relay must send relays of other data centres only the entries of its own data
+// centre: it has the others second-hand, and an entry that has failed since could
+// return that way.
 func TestRelayPassesOnOnlyItsOwnDataCenter(t *testing.T) {
-	w := newWorld(t)
-	w.center("a", 5, 1)
-	w.center("b", 5, 1)
-	w.center("c", 5, 1)
-	w.run(10 * time.Second)
+	s := newSimulation(t)
+	s.addDataCenter("a", 5, 1)
+	s.addDataCenter("b", 5, 1)
+	s.addDataCenter("c", 5, 1)
+	s.run(10 * time.Second)
 	for _, cursor := range []*apiv1.Cursor{nil, {Epoch: 1}} {
-		resp := w.relays["a-0"].Exchange(w.now, &apiv1.ExchangeRequest{FromHost: "c-0", FromDataCenter: "c", Cursor: cursor})
+		resp := s.relays["a-0"].Exchange(s.now, &apiv1.ExchangeRequest{FromHost: "c-0", FromDataCenter: "c", Cursor: cursor})
 		assert.Equal(t, len(resp.Entries), 5)
 		for _, e := range resp.Entries {
 			assert.Equal(t, e.DataCenter, "a")
@@ -121,116 +122,117 @@
 	}
 }
 
-// A relay hears nobody at all, while it runs: its own network is gone. It
-// cannot tell who failed and must leave the judgement to the others.
-func TestIsolatedRelayMarksNobodyFailed(t *testing.T) {
-	w := newWorld(t)
-	w.center("a", 20, 2)
-	w.run(10 * time.Second)
-	w.cut = func(from, to string) bool { return from == "a-0" || to == "a-0" }
-	w.run(2 * time.Minute)
-	assert.Equal(t, w.relays["a-0"].Failures, uint64(0))
-	w.cut = func(string, string) bool { return false }
-	w.run(20 * time.Second)
-	assert.Equal(t, w.count("a-1", "a", serving), 20)
+// A running relay loses its own network and hears from nobody. It cannot tell which
+// nodes have failed, so it must not mark any and leave that to the other relays.
+func TestIsolatedRelayMarksNoNodeFailed(t *testing.T) {
+	s := newSimulation(t)
+	s.addDataCenter("a", 20, 2)
+	s.run(10 * time.Second)
+	s.blocked = func(from, to string) bool { return from == "a-0" || to == "a-0" }
+	s.run(2 * time.Minute)
+	assert.Equal(t, s.relays["a-0"].Failures, uint64(0))
+	s.blocked = func(string, string) bool { return false }
+	s.run(20 * time.Second)
+	assert.Equal(t, s.countEntries("a-1", "a", serving), 20)
 }
 
-// The network between a relay and one of its nodes breaks, and only there. A
-// probe through another node reaches it: it is no failure.
+// Only the link between a relay and one of its nodes breaks. An indirect probe
+// through another node reaches the node, so it must not be marked failed.
 func TestCutBetweenRelayAndOneNodeIsNoFailure(t *testing.T) {
-	w := newWorld(t)
-	w.center("a", 10, 1)
-	w.run(10 * time.Second)
-	w.cut = func(from, to string) bool { return from == "a-0" && to == "a-5" || from == "a-5" && to == "a-0" }
-	w.run(time.Minute)
-	assert.Equal(t, w.count("a-0", "a", failed), 0)
+	s := newSimulation(t)
+	s.addDataCenter("a", 10, 1)
+	s.run(10 * time.Second)
+	s.blocked = func(from, to string) bool { return from == "a-0" && to == "a-5" || from == "a-5" && to == "a-0" }
+	s.run(time.Minute)
+	assert.Equal(t, s.countEntries("a-0", "a", failed), 0)
 }
 
-// A node restarts after its relay marked it failed, with a later incarnation.
-// It must be seen as new; its former self's entries are superseded.
+// A node restarts with a higher incarnation after its relay marked it failed. Its
+// new entry must supersede the failed one.
 func TestRestartedNodeIsNew(t *testing.T) {
-	w := newWorld(t)
-	w.center("a", 6, 2)
-	w.run(10 * time.Second)
-	w.nodes["a-4"].alive = false
-	w.run(20 * time.Second)
-	assert.Equal(t, w.count("a-0", "a", failed), 1)
-	w.nodes["a-4"].alive = true
-	w.nodes["a-4"].entry = &apiv1.Entry{Host: "a-4", DataCenter: "a", Service: "s", PeerAddress: "a-4", Incarnation: 2000, Sequence: 1, State: serving}
-	w.run(10 * time.Second)
-	for _, r := range w.hosts {
-		e := w.relays[r].Table().Get("a-4")
+	s := newSimulation(t)
+	s.addDataCenter("a", 6, 2)
+	s.run(10 * time.Second)
+	s.nodes["a-4"].alive = false
+	s.run(20 * time.Second)
+	assert.Equal(t, s.countEntries("a-0", "a", failed), 1)
+	s.nodes["a-4"].alive = true
+	s.nodes["a-4"].entry = &apiv1.Entry{Host: "a-4", DataCenter: "a", Service: "s", PeerAddress: "a-4", Incarnation: 2000, Sequence: 1, State: serving}
+	s.run(10 * time.Second)
+	for _, r := range s.relayHosts {
+		e := s.relays[r].Table().Get("a-4")
 		assert.Equal(t, e.State, serving)
 		assert.Equal(t, e.Incarnation, uint64(2000))
 	}
 }
 
-// A node restarts on a host whose clock went back by an hour: its incarnation
-// is lower than its former self's, which would hide it. The relay tells it what
-// it believes, so that the node takes a higher one.
-func TestClockGoneBackIsToldToTheNode(t *testing.T) {
-	w := newWorld(t)
-	w.center("a", 3, 1)
-	w.run(10 * time.Second)
-	held, _ := w.relays["a-0"].Heartbeat(w.now, &apiv1.NodeReport{Host: "a-1", Incarnation: 5, Sequence: 1}, nil)
+// A node restarts on a host whose clock was set back by an hour. Its incarnation is
+// lower than that of its previous run, which would hide the new entry. The relay
+// returns the entry it holds, so that the node can choose a higher incarnation.
+func TestClockSetBackIsReportedToNode(t *testing.T) {
+	s := newSimulation(t)
+	s.addDataCenter("a", 3, 1)
+	s.run(10 * time.Second)
+	held, _ := s.relays["a-0"].Heartbeat(s.now, &apiv1.NodeReport{Host: "a-1", Incarnation: 5, Sequence: 1}, nil)
 	assert.Equal(t, held.Incarnation, uint64(1000))
 }
 
-// A region is away for ten minutes while entries change on both sides. After it
-// is back, each side holds the other's newest, for the cost of the changes.
-func TestRegionAwayForTenMinutes(t *testing.T) {
-	w := newWorld(t)
-	w.center("a", 200, 3)
-	w.center("b", 200, 3)
-	w.run(10 * time.Second)
-	far := func(host string) bool { return host[0] == 'b' }
-	w.cut = func(from, to string) bool { return far(from) != far(to) }
-	w.nodes["a-50"].alive = false
-	w.nodes["b-60"].alive = false
-	w.run(10 * time.Minute)
-	assert.Equal(t, w.count("b-0", "a", serving), 200)
-	w.bytes = 0
-	w.cut = func(string, string) bool { return false }
-	w.run(5 * time.Second)
-	assert.Equal(t, w.count("b-0", "a", serving), 199)
-	assert.Equal(t, w.count("a-0", "b", serving), 199)
-	assert.Assert(t, w.bytes < 40_000, "%d bytes to reconcile", w.bytes)
+// A region is partitioned for ten minutes while entries change on both sides. After
+// the partition heals, each side must receive the other's latest entries at the
+// cost of only the changes.
+func TestReconcileAfterTenMinutePartition(t *testing.T) {
+	s := newSimulation(t)
+	s.addDataCenter("a", 200, 3)
+	s.addDataCenter("b", 200, 3)
+	s.run(10 * time.Second)
+	inB := func(host string) bool { return host[0] == 'b' }
+	s.blocked = func(from, to string) bool { return inB(from) != inB(to) }
+	s.nodes["a-50"].alive = false
+	s.nodes["b-60"].alive = false
+	s.run(10 * time.Minute)
+	assert.Equal(t, s.countEntries("b-0", "a", serving), 200)
+	s.exchangedBytes = 0
+	s.blocked = func(string, string) bool { return false }
+	s.run(5 * time.Second)
+	assert.Equal(t, s.countEntries("b-0", "a", serving), 199)
+	assert.Equal(t, s.countEntries("a-0", "b", serving), 199)
+	assert.Assert(t, s.exchangedBytes < 40_000, "%d bytes to reconcile", s.exchangedBytes)
 }
 
-// A relay restarts with nothing. Until it has heard from the others it must not
-// be ready, or it would tell nodes that services have no endpoints.
+// A relay restarts with an empty table. Until it has received entries from the
+// others it must not be ready, or it would report services as having no endpoints.
 func TestRestartedRelayIsNotReadyBeforeItKnows(t *testing.T) {
-	w := newWorld(t)
-	w.center("a", 10, 2)
-	w.center("b", 10, 2)
-	w.run(10 * time.Second)
-	w.addRelay("a-1", "a", 2)
-	assert.Assert(t, !w.relays["a-1"].Ready(w.now))
-	w.run(2 * time.Second)
-	assert.Assert(t, w.relays["a-1"].Ready(w.now))
-	assert.Equal(t, w.count("a-1", "b", serving), 10)
+	s := newSimulation(t)
+	s.addDataCenter("a", 10, 2)
+	s.addDataCenter("b", 10, 2)
+	s.run(10 * time.Second)
+	s.addRelay("a-1", "a", 2)
+	assert.Assert(t, !s.relays["a-1"].Ready(s.now))
+	s.run(2 * time.Second)
+	assert.Assert(t, s.relays["a-1"].Ready(s.now))
+	assert.Equal(t, s.countEntries("a-1", "b", serving), 10)
 }
 
-// A relay restarts with nothing and reaches the other data centres, but not yet its
-// sibling, which alone knows the nodes of their own data centre. It must not be ready:
-// nodes would be told that services there have no endpoints.
+// A relay restarts with an empty table and reaches the other data centres, but not
+// yet its sibling, the only relay with the entries of their own data centre. It must
+// not be ready: it would report services there as having no endpoints.
 func TestRestartedRelayIsNotReadyBeforeItsSiblingAnswers(t *testing.T) {
-	w := newWorld(t)
-	w.center("a", 10, 2)
-	w.center("b", 10, 2)
-	w.run(10 * time.Second)
-	w.cut = func(from, to string) bool { return from == "a-1" && to == "a-0" || from == "a-0" && to == "a-1" }
-	w.addRelay("a-1", "a", 2)
-	w.run(2 * time.Second)
-	assert.Assert(t, !w.relays["a-1"].Ready(w.now), "ready without its sibling")
-	w.cut = func(string, string) bool { return false }
-	w.run(time.Second)
-	assert.Assert(t, w.relays["a-1"].Ready(w.now))
-	assert.Equal(t, w.count("a-1", "b", serving), 10)
+	s := newSimulation(t)
+	s.addDataCenter("a", 10, 2)
+	s.addDataCenter("b", 10, 2)
+	s.run(10 * time.Second)
+	s.blocked = func(from, to string) bool { return from == "a-1" && to == "a-0" || from == "a-0" && to == "a-1" }
+	s.addRelay("a-1", "a", 2)
+	s.run(2 * time.Second)
+	assert.Assert(t, !s.relays["a-1"].Ready(s.now), "ready without its sibling")
+	s.blocked = func(string, string) bool { return false }
+	s.run(time.Second)
+	assert.Assert(t, s.relays["a-1"].Ready(s.now))
+	assert.Equal(t, s.countEntries("a-1", "b", serving), 10)
 }
 
-// Two tables that differ in little reconcile by digests: only the buckets that
-// differ travel. The related reading suggests comparing digests before sending.
+// Two tables with few differences reconcile by digests: only the buckets that
+// differ must be sent.
 func TestReconcileSendsOnlyWhatDiffers(t *testing.T) {
 	full, some := reconcileBytes(t, 8800, 8800), reconcileBytes(t, 8800, 10)
 	none := reconcileBytes(t, 8800, 0)
@@ -238,7 +240,7 @@
 	assert.Assert(t, some < full/5, "%d of %d", some, full)
 }
 
-// reconcileBytes is the size of an answer to a relay that lacks `differ` of n
+// reconcileBytes returns the size of an answer to a relay that lacks differ of n
 // entries and whose cursor is of another epoch.
 func reconcileBytes(t testing.TB, n, differ int) int {
 	t.Helper()
@@ -261,10 +263,10 @@
 		Relay: fmt.Sprintf("host-%05d", i/64*64), ChangedUnixMs: 1764700000000}
 }
 
-// A data centre of 400 nodes goes down at once. An answer carries a limited
-// number of the changes, so that nobody gets more than its bytes a second; with
-// the following answers the reader comes to hold them all.
-func TestBurstOfChangesComesInPortions(t *testing.T) {
+// 400 entries change at once, as when a whole data centre fails. One answer must
+// contain a limited number of changes, so that no reader exceeds its bandwidth
+// limit; the following answers must deliver the rest.
+func TestLargeChangeSetIsSentInBatches(t *testing.T) {
 	r := NewRelay(&apiv1.RelayInfo{Host: "a", DataCenter: "x"}, 1, 0)
 	_, cursor, _ := r.Entries(nil, []string{"s"}, true)
 	for i := range 400 {
@@ -277,7 +279,7 @@
 	for cursor.Version < r.Table().Version() {
 		var entries []*apiv1.Entry
 		entries, cursor, _ = r.Entries(cursor, []string{"s"}, false)
-		assert.Assert(t, len(entries) <= maxEntries)
+		assert.Assert(t, len(entries) <= maxEntriesPerAnswer)
 		view.Apply([]string{"s"}, entries, cursor, false)
 		answers++
 	}
@@ -285,8 +287,8 @@
 	assert.Equal(t, len(view.ByService()["s"]), 400)
 }
 
-// 400 nodes come up and one, last of all, fails. That one is what a caller most
-// needs to hear of: it comes with the first answer, ahead of its turn.
+// 400 nodes start and then one fails. The failure is the most important change for
+// callers, so it must be sent out of order in the first answer.
 func TestUrgentChangesComeFirst(t *testing.T) {
 	r := NewRelay(&apiv1.RelayInfo{Host: "a", DataCenter: "x"}, 1, 0)
 	_, cursor, _ := r.Entries(nil, []string{"s"}, true)
@@ -299,14 +301,13 @@
 		r.merge(0, e)
 	}
 	entries, _, _ := r.Entries(cursor, []string{"s"}, false)
-	assert.Equal(t, len(entries), maxEntries+1)
-	assert.Equal(t, entries[maxEntries].State, failed)
+	assert.Equal(t, len(entries), maxEntriesPerAnswer+1)
+	assert.Equal(t, entries[maxEntriesPerAnswer].State, failed)
 }
 
-// A node asks for a service while its relay is not ready, and gets no entries.
-// Were the service taken for answered, the next request would bring only what
-// changed since the cursor, and the endpoints that were there before would stay
-// unknown for good.
+// A node requests a service while its relay is not ready and gets no entries. If
+// the service counted as answered, the next request would return only changes since
+// the cursor, and the node would never learn of the endpoints that existed before.
 func TestServiceNotAnsweredIsAskedForAgain(t *testing.T) {
 	r := NewRelay(&apiv1.RelayInfo{Host: "a", DataCenter: "x"}, 1, 0)
 	r.merge(0, sampleEntry(1))
@@ -322,19 +323,19 @@
 	assert.Equal(t, len(view.ByService()["service-001"]), 1)
 }
 
-// A new relay joins a data centre. The others, which knew everything, must not
-// cease to answer until they have heard from it.
+// A new relay joins a data centre. The existing relays must stay ready although
+// they have not received entries from it yet.
 func TestReadyRelayStaysReady(t *testing.T) {
-	w := newWorld(t)
-	w.center("a", 5, 2)
-	w.run(3 * time.Second)
-	assert.Assert(t, w.relays["a-0"].Ready(w.now))
-	w.addRelay("a-2", "a", 1)
-	assert.Assert(t, w.relays["a-0"].Ready(w.now))
+	s := newSimulation(t)
+	s.addDataCenter("a", 5, 2)
+	s.run(3 * time.Second)
+	assert.Assert(t, s.relays["a-0"].Ready(s.now))
+	s.addRelay("a-2", "a", 1)
+	assert.Assert(t, s.relays["a-0"].Ready(s.now))
 }
 
-// Whatever claims arrive in whatever order, twice or late, tables that saw the
-// same set hold the same, and their digests agree.
+// Tables that receive the same set of entries must end with the same contents and
+// digests, whatever the order, delay and duplication of the entries.
 func TestMergeIsOrderIndependent(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
--- a/core/directory/exchange.go
+++ b/core/directory/exchange.go
@@ -8,67 +8,67 @@
 	apiv1 "cactuspath/api/cactuspath/v1"
 )
 
-// Pull asks the driver to send an exchange to a relay.
+// Pull asks the caller to send an exchange request to a relay.
 type Pull struct {
 	Relay   *apiv1.RelayInfo
 	Request *apiv1.ExchangeRequest
 }
 
-// Exchange answers another relay. A relay of this data centre gets every
-// entry; one of another gets only this data centre's, since only those are
-// vouched for here.
+// Exchange answers another relay's exchange request. A relay of this data centre
+// gets all entries; one of another data centre gets only the entries of this data
+// centre, the only ones for which this relay is authoritative.
 func (r *Relay) Exchange(now time.Duration, req *apiv1.ExchangeRequest) *apiv1.ExchangeResponse {
 	r.lastContact = now
 	if p := r.peers[req.FromHost]; p != nil {
-		p.heard = now
+		p.lastHeard = now
 	}
 	sibling := req.FromDataCenter == r.self.DataCenter
 	resp := &apiv1.ExchangeResponse{Cursor: &apiv1.Cursor{Epoch: r.epoch, Version: r.table.Version()}}
-	ours := func(e *apiv1.Entry) bool { return sibling || e.DataCenter == r.self.DataCenter }
+	visible := func(e *apiv1.Entry) bool { return sibling || e.DataCenter == r.self.DataCenter }
 	if req.Cursor.GetEpoch() == r.epoch {
-		resp.Entries, resp.Cursor.Version = r.changes(req.Cursor.Version, ours)
+		resp.Entries, resp.Cursor.Version = r.changesSince(req.Cursor.Version, visible)
 		return resp
 	}
-	r.reconcile(req, ours, resp)
+	r.reconcile(req, visible, resp)
 	return resp
 }
 
-// reconcile sends whole the buckets whose digests differ: after a cut or a
-// restart most buckets agree, and agreeing ones cost 8 bytes each.
-func (r *Relay) reconcile(req *apiv1.ExchangeRequest, ours func(*apiv1.Entry) bool, resp *apiv1.ExchangeResponse) {
-	differs := make([]bool, Buckets)
-	own := r.table.Digests(scope(req.FromDataCenter, r.self.DataCenter))
+// reconcile sends the full contents of the buckets whose digests differ. After a
+// partition or a restart most buckets match, and a matching one costs 8 bytes.
+func (r *Relay) reconcile(req *apiv1.ExchangeRequest, visible func(*apiv1.Entry) bool, resp *apiv1.ExchangeResponse) {
+	differs := make([]bool, BucketCount)
+	own := r.table.Digests(digestScope(req.FromDataCenter, r.self.DataCenter))
 	for i := range differs {
-		differs[i] = len(req.Digests) != Buckets || req.Digests[i] != own[i]
+		differs[i] = len(req.Digests) != BucketCount || req.Digests[i] != own[i]
 		if differs[i] {
 			resp.WholeBuckets = append(resp.WholeBuckets, uint32(i))
 		}
 	}
-	r.table.All(func(e *apiv1.Entry) {
-		if ours(e) && differs[Bucket(e.Host)] {
+	r.table.VisitAll(func(e *apiv1.Entry) {
+		if visible(e) && differs[Bucket(e.Host)] {
 			resp.Entries = append(resp.Entries, e)
 		}
 	})
 	sort.Slice(resp.Entries, func(i, j int) bool { return resp.Entries[i].Host < resp.Entries[j].Host })
 }
 
-// scope is whose entries two relays compare: all of them within a data centre,
-// otherwise those of the answering relay's.
-func scope(asking, answering string) string {
+// digestScope returns the data centre whose entries two relays compare: all of them
+// within a data centre, otherwise that of the answering relay.
+func digestScope(asking, answering string) string {
 	if asking == answering {
 		return AllCenters
 	}
 	return answering
 }
 
-// Pulled takes in a relay's answer to a Pull. A nil answer means none came.
+// Pulled processes a relay's answer to a Pull. A nil answer means that none came.
 func (r *Relay) Pulled(now time.Duration, host string, resp *apiv1.ExchangeResponse) {
 	p := r.peers[host]
 	if p == nil || resp == nil {
 		return
 	}
 	r.lastContact = now
-	p.heard = now
+	p.lastHeard = now
 	p.cursor = resp.Cursor
 	sibling := p.info.DataCenter == r.self.DataCenter
 	for _, e := range resp.Entries {
@@ -78,31 +78,31 @@
 	}
 }
 
-// plan pulls from some siblings, and from one relay of each other data centre
-// that this relay answers for.
-func (r *Relay) plan(now time.Duration, work *Work) {
+// planPulls adds pulls from some siblings, and from one relay of each other data
+// centre that this relay pulls from.
+func (r *Relay) planPulls(now time.Duration, work *Work) {
 	interval := pullInterval
 	if !r.Ready(now) {
 		interval = SettleInterval
 	}
-	if now-r.lastPlan < interval {
+	if now-r.lastPull < interval {
 		return
 	}
-	r.lastPlan = now
-	for _, host := range r.siblingsDue() {
-		work.Pulls = append(work.Pulls, r.pull(r.peers[host]))
+	r.lastPull = now
+	for _, host := range r.siblingsToPull() {
+		work.Pulls = append(work.Pulls, r.newPull(r.peers[host]))
 	}
-	for center, hosts := range r.otherCenters() {
-		if r.answersFor(now, center) {
-			work.Pulls = append(work.Pulls, r.pull(r.peers[r.answering(now, center, hosts)]))
+	for center, hosts := range r.remoteRelays() {
+		if r.pullsFrom(now, center) {
+			work.Pulls = append(work.Pulls, r.newPull(r.peers[r.selectRemoteRelay(now, center, hosts)]))
 		}
 	}
 	sort.Slice(work.Pulls, func(i, j int) bool { return work.Pulls[i].Relay.Host < work.Pulls[j].Relay.Host })
 }
 
-// siblingsDue lists the siblings to pull from now: those whose turn it is, and
-// all that were never heard.
-func (r *Relay) siblingsDue() []string {
+// siblingsToPull returns the siblings to pull from now: the next ones in turn and
+// all that have never answered.
+func (r *Relay) siblingsToPull() []string {
 	var siblings, due []string
 	for host, p := range r.peers {
 		if p.info.DataCenter != r.self.DataCenter {
@@ -114,55 +114,56 @@
 		}
 	}
 	sort.Strings(siblings)
-	for range min(siblingsAtOnce, len(siblings)) {
-		r.turn++
-		if host := siblings[r.turn%len(siblings)]; !slices.Contains(due, host) {
+	for range min(siblingPullsPerRound, len(siblings)) {
+		r.siblingTurn++
+		if host := siblings[r.siblingTurn%len(siblings)]; !slices.Contains(due, host) {
 			due = append(due, host)
 		}
 	}
 	return due
 }
 
-// answering picks the remote relay to pull from: the first in rendezvous order
-// that answers, or, when none does, each in turn.
-func (r *Relay) answering(now time.Duration, center string, hosts []string) string {
+// selectRemoteRelay selects the relay of another data centre to pull from: the first
+// live one in rendezvous order or, if none is live, each in turn.
+func (r *Relay) selectRemoteRelay(now time.Duration, center string, hosts []string) string {
 	order := Rendezvous(r.self.DataCenter+"/"+center, hosts)
 	for _, host := range order {
-		if now-r.peers[host].heard <= relaySilence {
+		if now-r.peers[host].lastHeard <= relayTimeout {
 			return host
 		}
 	}
 	return order[int(now/HeartbeatInterval)%len(order)]
 }
 
-// PullSoon has the next tick pull from those whose turn it is, for relays that
-// just appeared.
-func (r *Relay) PullSoon() { r.lastPlan -= pullInterval }
+// PullSoon makes the next tick pull from other relays, for relays that have just
+// appeared.
+func (r *Relay) PullSoon() { r.lastPull -= pullInterval }
 
-// PullAgain is the next pull from a relay that had news; ok is false if it is no
-// peer any more.
+// PullAgain returns the next pull from a relay whose last answer contained changes;
+// ok is false if the relay is no longer a peer.
 func (r *Relay) PullAgain(host string) (p Pull, ok bool) {
-	held := r.peers[host]
-	if held == nil {
+	target := r.peers[host]
+	if target == nil {
 		return Pull{}, false
 	}
-	return r.pull(held), true
+	return r.newPull(target), true
 }
 
-func (r *Relay) pull(p *peer) Pull {
+func (r *Relay) newPull(p *peer) Pull {
 	req := &apiv1.ExchangeRequest{FromHost: r.self.Host, FromDataCenter: r.self.DataCenter, Cursor: p.cursor}
-	if p.cursor == nil || r.otherEpoch(p) {
-		req.Digests = r.table.Digests(scope(r.self.DataCenter, p.info.DataCenter))
+	if p.cursor == nil || r.mayHaveRestarted(p) {
+		req.Digests = r.table.Digests(digestScope(r.self.DataCenter, p.info.DataCenter))
 	}
 	return Pull{Relay: p.info, Request: req}
 }
 
-// otherEpoch is unknown before the answer; digests are sent along when the
-// peer was silent long enough to have restarted.
-func (r *Relay) otherEpoch(p *peer) bool { return r.lastTick-p.heard > relaySilence }
+// mayHaveRestarted reports whether a peer was silent for so long that it may have
+// restarted with a new epoch. Its epoch is unknown until it answers, so digests
+// are then sent with the request.
+func (r *Relay) mayHaveRestarted(p *peer) bool { return r.lastTick-p.lastHeard > relayTimeout }
 
-// otherCenters lists the relays of every other data centre.
-func (r *Relay) otherCenters() map[string][]string {
+// remoteRelays returns the relays of every other data centre, by data centre.
+func (r *Relay) remoteRelays() map[string][]string {
 	out := map[string][]string{}
 	for host, p := range r.peers {
 		if p.info.DataCenter != r.self.DataCenter {
@@ -172,17 +173,17 @@
 	return out
 }
 
-// answersFor tells whether this relay is the one of its data centre that pulls
+// pullsFrom reports whether this relay is the one in its data centre that pulls
 // from another data centre.
-func (r *Relay) answersFor(now time.Duration, center string) bool {
-	return Rendezvous(center, r.liveSiblings(now))[0] == r.self.Host
+func (r *Relay) pullsFrom(now time.Duration, center string) bool {
+	return Rendezvous(center, r.liveLocalRelays(now))[0] == r.self.Host
 }
 
-// liveSiblings lists this data centre's relays that answer, itself included.
-func (r *Relay) liveSiblings(now time.Duration) []string {
+// liveLocalRelays returns the live relays of this data centre, including this one.
+func (r *Relay) liveLocalRelays(now time.Duration) []string {
 	live := []string{r.self.Host}
 	for host, p := range r.peers {
-		if p.info.DataCenter == r.self.DataCenter && now-p.heard <= relaySilence {
+		if p.info.DataCenter == r.self.DataCenter && now-p.lastHeard <= relayTimeout {
 			live = append(live, host)
 		}
 	}
--- a/core/directory/relay.go
+++ b/core/directory/relay.go
@@ -7,105 +7,112 @@
 	apiv1 "cactuspath/api/cactuspath/v1"
 )
 
-// Timing of failure detection, in virtual or real time alike.
+// Parameters of failure detection and exchange. Durations apply to virtual and
+// real time alike.
 const (
-	// HeartbeatInterval is how often a node reports to its relay.
+	// HeartbeatInterval is the interval at which a node reports to its relay.
 	HeartbeatInterval = time.Second
-	// suspectAfter is a silence that makes a relay probe the node.
+	// suspectAfter is the time without contact after which a relay suspects a
+	// node and probes it.
 	suspectAfter = 3 * HeartbeatInterval
-	// confirmAfter is a silence after which, with every probe failed, the node
-	// is marked failed.
+	// confirmAfter is the time without contact after which a node is marked
+	// failed if every probe has failed.
 	confirmAfter = 6 * HeartbeatInterval
-	// adoptAfter is how long a node may lack a live relay before another relay
-	// watches it.
-	adoptAfter = 6 * HeartbeatInterval
-	// tickStall is a gap between ticks that means this relay itself was stopped.
-	tickStall = 2 * HeartbeatInterval
-	// goneKept is how long a failed or departed entry is remembered. A peer
-	// that was cut off for less cannot bring the entry back; one cut off for
-	// longer can for as long as it takes to probe the host.
-	goneKept = 24 * time.Hour
-	// relaySilence is how long a relay may not be heard and still counts, where
-	// the control replicas do not say that it is gone.
-	relaySilence = 15 * HeartbeatInterval
-	// readyAfter is how long a relay that knows nothing waits for the others.
-	readyAfter = 5 * HeartbeatInterval
-	// SettleInterval is the time between ticks, and pulls, until the relay is ready.
+	// takeoverAfter is how long a node whose relay has failed may stay without
+	// contact before the relay that took it over suspects it.
+	takeoverAfter = 6 * HeartbeatInterval
+	// stallThreshold is the gap between ticks above which this relay itself is
+	// considered to have been suspended.
+	stallThreshold = 2 * HeartbeatInterval
+	// tombstoneRetention is how long a failed or departed entry is kept. A peer
+	// that was partitioned for less cannot bring the entry back; one partitioned
+	// for longer can, until the host has been probed.
+	tombstoneRetention = 24 * time.Hour
+	// relayTimeout is the time without contact after which a relay counts as
+	// failed although the control replicas still list it.
+	relayTimeout = 15 * HeartbeatInterval
+	// maxReadyWait is the longest time that a new relay waits for the others
+	// before it becomes ready.
+	maxReadyWait = 5 * HeartbeatInterval
+	// SettleInterval is the interval of ticks and pulls until the relay is ready.
 	SettleInterval = HeartbeatInterval / 10
-	// settleTime is how long a relay waits at least before it takes those that it
-	// heard of for all there are: others start at the same moment.
-	settleTime = 3 * SettleInterval
-	// siblingsAtOnce is how many siblings a relay pulls from at a time, each in
-	// turn. News spread from relay to relay in a few rounds; pulling from all
-	// every time would cost more than the nodes' heartbeats.
-	siblingsAtOnce = 2
-	// maxEntries bounds the changes that one answer carries, about 20 KB. After a
-	// data centre's loss the rest comes with the next heartbeats, so that no node
-	// gets more than its bytes a second; the oldest changes come first. Up to
-	// maxUrgent that say not to send work somewhere come ahead of their turn.
-	maxEntries = 150
-	maxUrgent  = 50
-	// pullInterval spaces the exchanges with another relay.
+	// minReadyWait is the shortest time before a relay assumes that its list of
+	// relays is complete: others may start at the same moment.
+	minReadyWait = 3 * SettleInterval
+	// siblingPullsPerRound is the number of siblings (other relays of the same
+	// data centre) that a relay pulls from per round, in round-robin order. Changes
+	// reach all siblings within a few rounds; pulling from all of them in every
+	// round would cost more than the nodes' heartbeats.
+	siblingPullsPerRound = 2
+	// maxEntriesPerAnswer limits the changes in one answer, about 20 KB. After the
+	// loss of a data centre the rest follows with the next heartbeats, so that no
+	// node exceeds its bandwidth limit; the oldest changes are sent first. Up to
+	// maxUrgentEntries entries that stop traffic to a host are sent out of order.
+	maxEntriesPerAnswer = 150
+	maxUrgentEntries    = 50
+	// pullInterval is the interval between rounds of pulls from other relays.
 	pullInterval = HeartbeatInterval
-	// probeInterval spaces the probes of one suspect.
+	// probeInterval is the interval between probes of a suspected node.
 	probeInterval = HeartbeatInterval
 )
 
+// peer is another relay, of this or another data centre.
 type peer struct {
 	info   *apiv1.RelayInfo
 	cursor *apiv1.Cursor
-	// heard is when it last answered; a peer never heard counts from added.
-	heard time.Duration
+	// lastHeard is the time of the last contact, or the time at which the peer
+	// was added.
+	lastHeard time.Duration
 }
 
-// Relay is the directory's state at a node that acts as a relay: every entry,
-// the heartbeats of the nodes that report to it, and the other relays.
+// Relay is the directory state of a node that acts as a relay: all entries, the
+// heartbeats of the nodes that report to it, and the other relays.
 type Relay struct {
 	self    *apiv1.RelayInfo
 	epoch   uint64
 	table   *Table
-	watched map[string]*watch
+	watched map[string]*watchedNode
 	peers   map[string]*peer
-	// cursors of relays that left the list, for when they are back.
-	cursors map[string]*apiv1.Cursor
-	gone    map[string]time.Duration
-	// own are the hosts of this data centre, so that what is done for them each
-	// tick does not look through all others.
-	own  map[string]bool
-	turn int
+	// cursors are those of relays that left the list, kept in case they return.
+	cursors    map[string]*apiv1.Cursor
+	tombstones map[string]time.Duration
+	// localHosts are the hosts of this data centre. They are indexed so that
+	// per-tick work does not scan the entries of other data centres.
+	localHosts  map[string]bool
+	siblingTurn int
 
-	started     time.Duration
-	listed      bool
-	ready       bool
-	lastTick    time.Duration
-	lastPlan    time.Duration
-	lastContact time.Duration
+	started      time.Duration
+	hasRelayList bool
+	ready        bool
+	lastTick     time.Duration
+	lastPull     time.Duration
+	lastContact  time.Duration
 
-	// FalseAlarms counts suspicions that a probe or heartbeat disproved.
+	// FalseAlarms counts suspicions that a probe or a heartbeat disproved.
 	FalseAlarms uint64
-	// Failures counts entries this relay marked failed.
+	// Failures counts the entries that this relay marked failed.
 	Failures uint64
 }
 
-// NewRelay returns a relay that knows nothing yet. Epoch must differ from that
-// of any earlier relay on this host: cursors of another epoch are not continued.
+// NewRelay returns a relay without entries. Epoch must differ from that of every
+// earlier relay on this host: cursors of another epoch are not continued.
 func NewRelay(self *apiv1.RelayInfo, epoch uint64, now time.Duration) *Relay {
-	return &Relay{self: self, epoch: epoch, table: NewTable(), watched: map[string]*watch{}, peers: map[string]*peer{}, cursors: map[string]*apiv1.Cursor{}, own: map[string]bool{},
-		gone: map[string]time.Duration{}, started: now, lastTick: now, lastPlan: now - pullInterval, lastContact: now}
+	return &Relay{self: self, epoch: epoch, table: NewTable(), watched: map[string]*watchedNode{}, peers: map[string]*peer{}, cursors: map[string]*apiv1.Cursor{}, localHosts: map[string]bool{},
+		tombstones: map[string]time.Duration{}, started: now, lastTick: now, lastPull: now - pullInterval, lastContact: now}
 }
 
-// Knows tells whether a relay is in the list that this one holds.
+// Knows reports whether a host is in this relay's list of relays.
 func (r *Relay) Knows(host string) bool { return host == r.self.Host || r.peers[host] != nil }
 
-// Table gives the entries. The caller must not modify it.
+// Table returns the table of entries. The caller must not modify it.
 func (r *Relay) Table() *Table { return r.table }
 
-// Watched counts the nodes that report to this relay.
+// Watched returns the number of nodes that this relay monitors.
 func (r *Relay) Watched() int { return len(r.watched) }
 
 // SetRelays replaces the list of relays of all data centres.
 func (r *Relay) SetRelays(list []*apiv1.RelayInfo, now time.Duration) {
-	r.listed = true
+	r.hasRelayList = true
 	listed := map[string]bool{}
 	for _, info := range list {
 		if info.Host == r.self.Host {
@@ -116,7 +123,7 @@
 			p.info = info
 			continue
 		}
-		r.peers[info.Host] = &peer{info: info, heard: now, cursor: r.cursors[info.Host]}
+		r.peers[info.Host] = &peer{info: info, lastHeard: now, cursor: r.cursors[info.Host]}
 	}
 	for host, p := range r.peers {
 		if !listed[host] {
@@ -126,17 +133,17 @@
 	}
 }
 
-// Ready tells whether the relay has heard from its siblings, and from the data
-// centres that it answers for, or has waited for long enough. Until then it must
-// not answer nodes with its entries: it would tell them that services have no
-// endpoints which it merely has not heard of yet.
+// Ready reports whether the relay has received entries from its siblings and from
+// the data centres that it pulls from, or has waited for maxReadyWait. Until then
+// it must not answer nodes: it would report services as having no endpoints when
+// it has merely not received them yet.
 func (r *Relay) Ready(now time.Duration) bool {
-	r.ready = r.ready || now-r.started >= readyAfter || now-r.started >= settleTime && r.heardAll(now)
+	r.ready = r.ready || now-r.started >= maxReadyWait || now-r.started >= minReadyWait && r.allAnswered(now)
 	return r.ready
 }
 
-func (r *Relay) heardAll(now time.Duration) bool {
-	if !r.listed {
+func (r *Relay) allAnswered(now time.Duration) bool {
+	if !r.hasRelayList {
 		return false
 	}
 	for _, p := range r.peers {
@@ -144,15 +151,15 @@
 			return false
 		}
 	}
-	for center, hosts := range r.otherCenters() {
-		if r.answersFor(now, center) && !r.heardAny(hosts) {
+	for center, hosts := range r.remoteRelays() {
+		if r.pullsFrom(now, center) && !r.anyAnswered(hosts) {
 			return false
 		}
 	}
 	return true
 }
 
-func (r *Relay) heardAny(hosts []string) bool {
+func (r *Relay) anyAnswered(hosts []string) bool {
 	for _, host := range hosts {
 		if r.peers[host].cursor != nil {
 			return true
@@ -161,7 +168,7 @@
 	return false
 }
 
-// Relays lists this data centre's relays, itself included.
+// Relays returns the relays of this data centre, including this one.
 func (r *Relay) Relays() []*apiv1.RelayInfo {
 	list := []*apiv1.RelayInfo{r.self}
 	for _, p := range r.peers {
@@ -173,8 +180,8 @@
 	return list
 }
 
-// Heartbeat takes in a node's report. It returns the entry the relay holds of
-// the node, or nil, and whether the relay needs a newer one.
+// Heartbeat processes a node's report. It returns the relay's current entry of the
+// node, or nil, and whether the relay needs a newer one.
 func (r *Relay) Heartbeat(now time.Duration, report *apiv1.NodeReport, entry *apiv1.Entry) (held *apiv1.Entry, needEntry bool) {
 	r.lastContact = now
 	if entry != nil && entry.DataCenter == r.self.DataCenter {
@@ -185,31 +192,31 @@
 		return held, true
 	}
 	if held.Relay == r.self.Host && held.Incarnation == report.Incarnation && !Gone(held) {
-		r.hear(now, report.Host).report = report
+		r.recordContact(now, report.Host).report = report
 	}
 	return held, false
 }
 
-// merge takes in a claim and keeps the bookkeeping that hangs on it.
+// merge stores an entry and updates the state derived from it.
 func (r *Relay) merge(now time.Duration, e *apiv1.Entry) {
 	if !r.table.Merge(e) {
 		return
 	}
 	if e.DataCenter == r.self.DataCenter {
-		r.own[e.Host] = true
+		r.localHosts[e.Host] = true
 	}
 	if Gone(e) {
-		r.gone[e.Host] = now
+		r.tombstones[e.Host] = now
 		delete(r.watched, e.Host)
 		return
 	}
-	delete(r.gone, e.Host)
+	delete(r.tombstones, e.Host)
 	if e.Relay != r.self.Host {
 		delete(r.watched, e.Host)
 	}
 }
 
-// Reports returns the newest report of every node that reports here.
+// Reports returns the latest report of every node that reports to this relay.
 func (r *Relay) Reports() []*apiv1.NodeReport {
 	var list []*apiv1.NodeReport
 	for _, w := range r.watched {
@@ -221,20 +228,20 @@
 	return list
 }
 
-// Entries returns what a node at a cursor lacks of the services it needs;
-// complete means that it replaces all the node knew.
-func (r *Relay) Entries(cursor *apiv1.Cursor, services []string, fresh bool) (entries []*apiv1.Entry, next *apiv1.Cursor, complete bool) {
+// Entries returns the entries of the given services that a node at cursor lacks.
+// If complete is set, they replace everything the node has.
+func (r *Relay) Entries(cursor *apiv1.Cursor, services []string, resubscribe bool) (entries []*apiv1.Entry, next *apiv1.Cursor, complete bool) {
 	wanted := make(map[string]bool, len(services))
 	for _, s := range services {
 		wanted[s] = true
 	}
 	next = &apiv1.Cursor{Epoch: r.epoch, Version: r.table.Version()}
-	complete = fresh || cursor.GetEpoch() != r.epoch
+	complete = resubscribe || cursor.GetEpoch() != r.epoch
 	if !complete {
-		entries, next.Version = r.changes(cursor.Version, func(e *apiv1.Entry) bool { return wanted[e.Service] })
+		entries, next.Version = r.changesSince(cursor.Version, func(e *apiv1.Entry) bool { return wanted[e.Service] })
 		return entries, next, false
 	}
-	r.table.All(func(e *apiv1.Entry) {
+	r.table.VisitAll(func(e *apiv1.Entry) {
 		if wanted[e.Service] && !Gone(e) {
 			entries = append(entries, e)
 		}
@@ -243,13 +250,14 @@
 	return entries, next, true
 }
 
-// changes lists the changes after a version that wanted picks, within the limits
-// of one answer, and the version that the reader then has. What came ahead of
-// its turn is sent again in its turn, and changes nothing then.
-func (r *Relay) changes(version uint64, wanted func(*apiv1.Entry) bool) (entries []*apiv1.Entry, next uint64) {
-	take := func(limit int, pick func(*apiv1.Entry) bool) func(*apiv1.Entry) bool {
+// changesSince returns the entries accepted by wanted that changed after version,
+// within the limits of one answer, and the version that the reader then has.
+// Urgent entries that are sent early are sent again in order, which has no effect
+// on the reader.
+func (r *Relay) changesSince(version uint64, wanted func(*apiv1.Entry) bool) (entries []*apiv1.Entry, next uint64) {
+	collect := func(limit int, match func(*apiv1.Entry) bool) func(*apiv1.Entry) bool {
 		return func(e *apiv1.Entry) bool {
-			if !pick(e) {
+			if !match(e) {
 				return true
 			}
 			if len(entries) == limit {
@@ -259,15 +267,15 @@
 			return true
 		}
 	}
-	next = r.table.Since(version, take(maxEntries, wanted))
+	next = r.table.VisitChanges(version, collect(maxEntriesPerAnswer, wanted))
 	if next < r.table.Version() {
-		r.table.Since(next, take(maxEntries+maxUrgent, func(e *apiv1.Entry) bool { return wanted(e) && urgent(e) }))
+		r.table.VisitChanges(next, collect(maxEntriesPerAnswer+maxUrgentEntries, func(e *apiv1.Entry) bool { return wanted(e) && isUrgent(e) }))
 	}
 	return entries, next
 }
 
-// urgent tells whether an entry keeps work away from its host: a reader that
-// lacks it sends requests there that are refused or lost.
-func urgent(e *apiv1.Entry) bool {
+// isUrgent reports whether an entry stops traffic to its host: a reader that lacks
+// it sends requests there that are refused or lost.
+func isUrgent(e *apiv1.Entry) bool {
 	return e.State != apiv1.EndpointState_ENDPOINT_STATE_SERVING
 }
--- a/core/directory/table.go
+++ b/core/directory/table.go
@@ -1,14 +1,17 @@
-// Package directory keeps track of the backend servers, each of which is
-// announced by the node beside it. There is no list of them anywhere else.
+// Package directory implements service discovery for the backend servers. Each
+// backend server is announced by the node on its host; no other list of them
+// exists.
 //
-// An entry has one writer, its node; (incarnation, sequence) orders what the
-// writer said, so that merging is taking the larger. The relays of a data
-// centre hear its nodes' heartbeats and may mark an entry failed; the node
-// refutes that with its next sequence number. Data centres exchange only what
-// their own relays vouch for, so that nothing comes back through a third one.
+// An entry has a single writer, its node. Entries are ordered by (incarnation,
+// sequence), so that merging keeps the larger one. The relays of a data centre
+// receive its nodes' heartbeats and may mark an entry failed; the node refutes
+// that with its next sequence number. Between data centres, relays exchange only
+// the entries of their own data centre, so that stale entries cannot return
+// through a third one.
 //
-// All types are pure: time is passed in, messages and work come out. None is
-// safe for concurrent use. Entries are never modified once they are in a table.
+// All types are pure state machines: the time is passed in, and messages and work
+// are returned. None is safe for concurrent use. Entries are immutable once they
+// are in a table.
 package directory
 
 import (
@@ -20,8 +23,9 @@
 	apiv1 "cactuspath/api/cactuspath/v1"
 )
 
-// Newer tells whether claim a supersedes claim b about the same host. At the
-// same (incarnation, sequence) a relay's "failed" beats what the node said.
+// Newer reports whether entry a supersedes entry b of the same host. At equal
+// (incarnation, sequence), a relay's "failed" takes precedence over the state
+// announced by the node.
 func Newer(a, b *apiv1.Entry) bool {
 	if b == nil {
 		return true
@@ -36,17 +40,19 @@
 	return a.State == failed && b.State != failed
 }
 
-// Gone tells whether an entry is kept only so that an older claim about its
-// host cannot come back.
+// Gone reports whether an entry is a tombstone, kept only so that an older entry
+// of its host cannot return.
 func Gone(e *apiv1.Entry) bool {
 	return e.State == apiv1.EndpointState_ENDPOINT_STATE_FAILED || e.State == apiv1.EndpointState_ENDPOINT_STATE_DEPARTED
 }
 
-// Buckets is how many digests sum up one data centre's entries. With 8,800
-// entries that differ in 10, 64 buckets cost 132 KB and 1,024 cost 18 KB; the
-// digests themselves are 8 KB, sent only after a restart or a long silence.
-const Buckets = 1024
+// BucketCount is the number of digest buckets per data centre. For two tables of
+// 8,800 entries that differ in 10, a reconciliation costs 18 KB with 1,024 buckets
+// and 132 KB with 64. The digests themselves take 8 KB and are sent only after a
+// restart or a long silence.
+const BucketCount = 1024
 
+// row is an entry and the version of its last change.
 type row struct {
 	entry   *apiv1.Entry
 	version uint64
@@ -57,25 +63,25 @@
 	host    string
 }
 
-// Table holds entries with a version for each change, so that a reader at an
-// earlier version can be given what changed since.
+// Table holds one entry per host and assigns a version to each change, so that a
+// reader at an earlier version can be sent only the changes since then.
 type Table struct {
 	rows    map[string]*row
 	version uint64
-	// changes is ordered by version; superseded ones are dropped now and then.
+	// changes is ordered by version; pruneChanges removes superseded changes.
 	changes []change
-	digests map[string]*[Buckets]uint64
+	digests map[string]*[BucketCount]uint64
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{rows: map[string]*row{}, digests: map[string]*[Buckets]uint64{}}
+	return &Table{rows: map[string]*row{}, digests: map[string]*[BucketCount]uint64{}}
 }
 
-// Version counts the changes so far.
+// Version returns the version of the latest change.
 func (t *Table) Version() uint64 { return t.version }
 
-// Len counts the entries, gone ones included.
+// Len returns the number of entries, including tombstones.
 func (t *Table) Len() int { return len(t.rows) }
 
 // Get returns the entry of a host, or nil.
@@ -86,38 +92,40 @@
 	return nil
 }
 
-// Merge takes in a claim and reports whether it superseded what was held.
+// Merge stores an entry if it supersedes the current one of its host, and reports
+// whether it did.
 func (t *Table) Merge(e *apiv1.Entry) bool {
-	held := t.rows[e.Host]
-	if held != nil && !Newer(e, held.entry) {
+	current := t.rows[e.Host]
+	if current != nil && !Newer(e, current.entry) {
 		return false
 	}
-	if held != nil {
-		t.toggle(held.entry)
+	if current != nil {
+		t.xorDigest(current.entry)
 	} else {
-		held = &row{}
-		t.rows[e.Host] = held
+		current = &row{}
+		t.rows[e.Host] = current
 	}
 	t.version++
-	held.entry, held.version = e, t.version
+	current.entry, current.version = e, t.version
 	t.changes = append(t.changes, change{t.version, e.Host})
-	t.toggle(e)
-	t.prune()
+	t.xorDigest(e)
+	t.pruneChanges()
 	return true
 }
 
-// Forget drops a gone entry for good.
-func (t *Table) Forget(host string) {
+// Delete removes a host's entry if it is a tombstone.
+func (t *Table) Delete(host string) {
 	r := t.rows[host]
 	if r == nil || !Gone(r.entry) {
 		return
 	}
-	t.toggle(r.entry)
+	t.xorDigest(r.entry)
 	delete(t.rows, host)
 }
 
-// prune keeps the list of changes within twice the number of rows.
-func (t *Table) prune() {
+// pruneChanges removes superseded changes once the list exceeds twice the number
+// of rows plus 64.
+func (t *Table) pruneChanges() {
 	if len(t.changes) < 2*len(t.rows)+64 {
 		return
 	}
@@ -130,10 +138,10 @@
 	t.changes = kept
 }
 
-// Since visits the entries that changed after version, oldest change first,
-// until visit returns false. It returns the version up to which the reader is
-// then current.
-func (t *Table) Since(version uint64, visit func(*apiv1.Entry) bool) uint64 {
+// VisitChanges visits the entries that changed after version, oldest change first,
+// until visit returns false. It returns the version up to which the reader is then
+// up to date.
+func (t *Table) VisitChanges(version uint64, visit func(*apiv1.Entry) bool) uint64 {
 	first := sort.Search(len(t.changes), func(i int) bool { return t.changes[i].version > version })
 	for _, c := range t.changes[first:] {
 		if r := t.rows[c.host]; r != nil && r.version == c.version && !visit(r.entry) {
@@ -143,20 +151,20 @@
 	return t.version
 }
 
-// All visits every entry, in no particular order.
-func (t *Table) All(visit func(*apiv1.Entry)) {
+// VisitAll visits every entry, in no particular order.
+func (t *Table) VisitAll(visit func(*apiv1.Entry)) {
 	for _, r := range t.rows {
 		visit(r.entry)
 	}
 }
 
-// AllCenters names every data centre in Digests.
+// AllCenters selects all data centres in Digests.
 const AllCenters = ""
 
-// Digests sums up a data centre's entries, or all, one value per bucket. Two
-// tables with equal digests hold the same entries.
+// Digests returns one digest per bucket over the entries of a data centre, or of
+// all of them. Two tables with equal digests hold the same entries.
 func (t *Table) Digests(dataCenter string) []uint64 {
-	out := make([]uint64, Buckets)
+	out := make([]uint64, BucketCount)
 	for center, d := range t.digests {
 		if center != dataCenter && dataCenter != AllCenters {
 			continue
@@ -168,18 +176,19 @@
 	return out
 }
 
-// toggle adds an entry to its bucket's digest, or takes it out again.
-func (t *Table) toggle(e *apiv1.Entry) {
+// xorDigest adds an entry to its bucket's digest, or removes it if it was added
+// before.
+func (t *Table) xorDigest(e *apiv1.Entry) {
 	d := t.digests[e.DataCenter]
 	if d == nil {
-		d = new([Buckets]uint64)
+		d = new([BucketCount]uint64)
 		t.digests[e.DataCenter] = d
 	}
 	d[Bucket(e.Host)] ^= entryHash(e)
 }
 
-// Bucket is the digest bucket of a host.
-func Bucket(host string) int { return int(xxhash.Sum64String(host) % Buckets) }
+// Bucket returns the digest bucket of a host.
+func Bucket(host string) int { return int(xxhash.Sum64String(host) % BucketCount) }
 
 func entryHash(e *apiv1.Entry) uint64 {
 	var b [24]byte
@@ -192,9 +201,9 @@
 	return h.Sum64()
 }
 
-// Rendezvous orders names by their weight for a key: every caller with the
-// same names gets the same order, and a name that comes or goes moves only the
-// keys it ranks first for.
+// Rendezvous orders names by their rendezvous hash (highest random weight) for a
+// key. Every caller with the same names gets the same order, and adding or
+// removing a name moves only the keys for which it ranks first.
 func Rendezvous(key string, names []string) []string {
 	out := append([]string(nil), names...)
 	sort.Slice(out, func(i, j int) bool {
--- a/core/directory/view.go
+++ b/core/directory/view.go
@@ -6,12 +6,12 @@
 	apiv1 "cactuspath/api/cactuspath/v1"
 )
 
-// View is what a node knows of the services it needs. It follows one relay's
-// stream of changes at a time.
+// View is a node's copy of the entries of the services it needs. It follows the
+// change stream of one relay at a time.
 type View struct {
 	entries map[string]*apiv1.Entry
 	cursor  *apiv1.Cursor
-	// answered are the services that the cursor stands for.
+	// answered are the services covered by the cursor.
 	answered map[string]bool
 }
 
@@ -20,12 +20,12 @@
 	return &View{entries: map[string]*apiv1.Entry{}, answered: map[string]bool{}}
 }
 
-// Cursor is the view's place in its relay's stream.
+// Cursor returns the view's position in its relay's change stream.
 func (v *View) Cursor() *apiv1.Cursor { return v.cursor }
 
-// Covers tells whether the view stands for all the services. If not, the next
-// answer must be complete: changes since the cursor would leave out whatever was
-// there before the service was asked for.
+// Covers reports whether the view covers all the services. If not, the next answer
+// must be complete: changes since the cursor would omit entries that existed before
+// the service was requested.
 func (v *View) Covers(services []string) bool {
 	for _, s := range services {
 		if !v.answered[s] {
@@ -35,25 +35,25 @@
 	return true
 }
 
-// Answered tells whether a relay has answered for a service.
+// Answered reports whether a relay has answered for a service.
 func (v *View) Answered(service string) bool { return v.answered[service] }
 
-// Apply takes in a relay's answer to a request for services and reports whether
-// anything changed. An answer without a cursor is none: the relay is not ready,
-// and what was asked for must be asked for again. A complete answer drops
-// entries that it does not hold.
+// Apply processes a relay's answer to a request for services and reports whether
+// anything changed. An answer without a cursor is ignored: the relay is not ready
+// and the services must be requested again. A complete answer removes the entries
+// that it does not contain.
 func (v *View) Apply(services []string, entries []*apiv1.Entry, cursor *apiv1.Cursor, complete bool) bool {
 	if cursor == nil {
 		return false
 	}
 	changed := false
 	if complete {
-		named := map[string]bool{}
+		present := map[string]bool{}
 		for _, e := range entries {
-			named[e.Host] = true
+			present[e.Host] = true
 		}
 		for host := range v.entries {
-			if !named[host] {
+			if !present[host] {
 				delete(v.entries, host)
 				changed = true
 			}
@@ -74,11 +74,12 @@
 	return changed
 }
 
-// Following tells whether a relay answers for this view.
+// Following reports whether the view follows a relay.
 func (v *View) Following() bool { return v.cursor != nil }
 
-// Provisional takes in claims that no relay vouches for, while none answers. It
-// reports whether anything changed. The first relay's answer replaces them.
+// Provisional merges entries that were not confirmed by a relay, as long as the
+// view follows none. It reports whether anything changed. The first answer of a
+// relay replaces them.
 func (v *View) Provisional(entries []*apiv1.Entry) bool {
 	if v.cursor != nil {
 		return false
@@ -93,10 +94,10 @@
 	return changed
 }
 
-// Reset drops the cursor, so that the next answer is complete.
+// Reset discards the cursor, so that the next answer is complete.
 func (v *View) Reset() { v.cursor = nil }
 
-// ByService groups the entries that are not gone, ordered by host.
+// ByService returns the entries by service, without tombstones and ordered by host.
 func (v *View) ByService() map[string][]*apiv1.Entry {
 	out := map[string][]*apiv1.Entry{}
 	for _, e := range v.entries {
