--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -1,6 +1,6 @@
-// Package controlclient reaches the leader of the control replicas: it tries
-// the known addresses in turn, follows the leader's address when a replica
-// names it, and waits between rounds. Nodes, relays and cactusctl use it.
+// Package controlclient calls the leader of the control replicas: it tries the known
+// addresses in turn, follows the leader's address when a replica returns it, and backs
+// off between rounds. Nodes, relays and cactusctl use it.
 package controlclient
 
 import (
@@ -18,17 +18,17 @@
 )
 
 const (
-	firstPause   = 50 * time.Millisecond
-	longestPause = 2 * time.Second
-	// attemptTimeout bounds one call, so that a frozen replica costs a moment
-	// and not the whole timeout.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 2 * time.Second
+	// attemptTimeout limits one call, so that a hanging replica does not use up the
+	// whole timeout.
 	attemptTimeout = 2 * time.Second
 )
 
-// ErrUnreachable means that no control replica could be reached.
+// ErrUnreachable is returned if no control replica could be reached.
 var ErrUnreachable = errors.New("no control replica answered; check the addresses and that a majority of the replicas runs")
 
-// Replica is the set of clients for one control replica.
+// Replica holds the clients for one control replica.
 type Replica struct {
 	Address string
 	Log     apiv1connect.ReplicaServiceClient
@@ -37,7 +37,7 @@
 	Query   apiv1connect.OperatorQueryServiceClient
 }
 
-// Client reaches the leader. Safe for concurrent use.
+// Client calls the leader of the control replicas. Safe for concurrent use.
 type Client struct {
 	security  *transport.Security
 	options   []connect.ClientOption
@@ -46,14 +46,15 @@
 	Traffic transport.Traffic
 
 	mu sync.Mutex
-	// learned are the addresses that a replica named, beside those given.
-	learned  []string
-	leader   string
-	replicas map[string]*Replica
+	// discovered holds the addresses that a replica returned, in addition to the
+	// configured ones.
+	discovered []string
+	leader     string
+	replicas   map[string]*Replica
 }
 
-// New returns a client for the replicas at addresses. Token, if not empty, is
-// sent with every call.
+// New returns a client for the replicas at addresses. If token is not empty, it is sent
+// with every call.
 func New(security *transport.Security, addresses []string, token string) *Client {
 	c := &Client{security: security, addresses: addresses, replicas: map[string]*Replica{}}
 	if token != "" {
@@ -71,26 +72,26 @@
 	}
 }
 
-// Addresses are those that the client was given.
+// Addresses returns the configured addresses.
 func (c *Client) Addresses() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.addresses
 }
 
-// SetAddresses replaces the addresses given.
+// SetAddresses replaces the configured addresses.
 func (c *Client) SetAddresses(addresses []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.addresses = addresses
 }
 
-// Learn notes the addresses of all replicas, as one of them named them: those
-// given may all have been replaced since.
-func (c *Client) Learn(addresses []string) {
+// SetDiscovered stores the addresses of all replicas, as returned by one of them: the
+// configured ones may all have been replaced since.
+func (c *Client) SetDiscovered(addresses []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.learned = addresses
+	c.discovered = addresses
 }
 
 // At returns the clients for one address.
@@ -112,12 +113,12 @@
 	return r
 }
 
-// Once calls the replica last known to lead, or the first that answers. It
-// follows one hint per address and returns the last error.
+// Once calls the last known leader, or the first replica that responds. It follows one
+// hint per address and returns the last error.
 func (c *Client) Once(ctx context.Context, call func(context.Context, *Replica) error) error {
 	tried := map[string]bool{}
-	queue := c.order()
-	var last error = ErrUnreachable
+	queue := c.candidateAddresses()
+	var lastErr error = ErrUnreachable
 	for len(queue) > 0 {
 		address := queue[0]
 		queue = queue[1:]
@@ -127,14 +128,14 @@
 		tried[address] = true
 		err := c.attempt(ctx, address, call)
 		if err == nil {
-			c.remember(address)
+			c.setLeader(address)
 			return nil
 		}
 		kind, hint := fault.Of(err)
-		if !elsewhere(kind) {
+		if !retryable(kind) {
 			return err
 		}
-		last = err
+		lastErr = err
 		if hint != "" {
 			queue = append([]string{hint}, queue...)
 		}
@@ -142,12 +143,13 @@
 			break
 		}
 	}
-	c.remember("")
-	return last
+	c.setLeader("")
+	return lastErr
 }
 
-// elsewhere tells whether another replica, or the same one later, may answer.
-func elsewhere(kind fault.Kind) bool {
+// retryable reports whether another replica, or the same one later, may answer the
+// call.
+func retryable(kind fault.Kind) bool {
 	return kind == fault.NotLeader || kind == fault.Unavailable
 }
 
@@ -157,32 +159,32 @@
 	return call(ctx, c.At(address))
 }
 
-// Until repeats Once until it succeeds, fails for good, or ctx ends. The call
-// must be idempotent.
-func (c *Client) Until(ctx context.Context, call func(context.Context, *Replica) error) error {
-	pause := firstPause
+// CallWithRetry repeats Once until it succeeds, fails permanently, or ctx ends. The
+// call must be idempotent.
+func (c *Client) CallWithRetry(ctx context.Context, call func(context.Context, *Replica) error) error {
+	backoff := minBackoff
 	for {
 		err := c.Once(ctx, call)
 		if err == nil {
 			return nil
 		}
-		if kind, _ := fault.Of(err); !elsewhere(kind) && kind != fault.Unknown {
+		if kind, _ := fault.Of(err); !retryable(kind) && kind != fault.Unknown {
 			return err
 		}
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(pause/2 + rand.N(pause)):
+		case <-time.After(backoff/2 + rand.N(backoff)):
 		}
-		pause = min(2*pause, longestPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-func (c *Client) order() []string {
+func (c *Client) candidateAddresses() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := []string{c.leader}
-	for _, addresses := range [][]string{c.learned, c.addresses} {
+	for _, addresses := range [][]string{c.discovered, c.addresses} {
 		start := rand.IntN(max(1, len(addresses)))
 		for i := range addresses {
 			list = append(list, addresses[(start+i)%len(addresses)])
@@ -191,7 +193,7 @@
 	return list
 }
 
-func (c *Client) remember(address string) {
+func (c *Client) setLeader(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leader = address
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -276,7 +276,7 @@
 	w.mu.Lock()
 	w.replicas = replicas
 	w.mu.Unlock()
-	w.n.options.Control.Learn(replicas)
+	w.n.options.Control.SetDiscovered(replicas)
 }
 
 // logStatus logs when the control replicas are lost and when they are back.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -100,7 +100,7 @@
 // change sends a change until it is decided or ctx ends.
 func (c *Client) change(ctx context.Context, changeID string, send func(context.Context, *controlclient.Replica) (*apiv1.AuditRecord, error)) (*apiv1.AuditRecord, error) {
 	var record *apiv1.AuditRecord
-	err := c.Control.Until(ctx, func(ctx context.Context, r *controlclient.Replica) error {
+	err := c.Control.CallWithRetry(ctx, func(ctx context.Context, r *controlclient.Replica) error {
 		answer, err := send(ctx, r)
 		if err == nil {
 			record = answer
@@ -167,7 +167,7 @@
 // query calls the leader until it answers or ctx ends.
 func query[T any](ctx context.Context, c *Client, call func(context.Context, *controlclient.Replica) (*connect.Response[T], error)) (*T, error) {
 	var answer *T
-	err := c.Control.Until(ctx, func(ctx context.Context, r *controlclient.Replica) error {
+	err := c.Control.CallWithRetry(ctx, func(ctx context.Context, r *controlclient.Replica) error {
 		resp, err := call(ctx, r)
 		if err == nil {
 			answer = resp.Msg
--- a/internal/operator/replicas.go
+++ b/internal/operator/replicas.go
@@ -93,7 +93,7 @@
 	req.Operator = c.Name
 	for {
 		var members *apiv1.Membership
-		err := c.Control.Until(ctx, func(ctx context.Context, r *controlclient.Replica) error {
+		err := c.Control.CallWithRetry(ctx, func(ctx context.Context, r *controlclient.Replica) error {
 			resp, err := r.Command.ChangeReplica(ctx, connect.NewRequest(req))
 			if err == nil {
 				members = resp.Msg.Membership
