--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator carries out operators' commands and queries against the
-// control replicas. It is the library behind cactusctl and the tour.
+// Package operator runs operators' commands and queries against the control replicas.
+// It is the library behind cactusctl and the tour.
 package operator
 
 import (
@@ -17,15 +17,16 @@
 	"cactuspath/internal/controlclient"
 )
 
-// Client talks to the control replicas on an operator's behalf.
+// Client calls the control replicas on an operator's behalf.
 type Client struct {
 	Control *controlclient.Client
-	// Name is the operator's, where the replicas do not derive it from a token.
+	// Name is the operator's name, used where the replicas do not derive it from a
+	// token.
 	Name string
 }
 
-// NewChangeID returns an id for a change. The same id sent again gets the first
-// answer, so keep it if an outcome is unknown.
+// NewChangeID returns an id for a change. Resending a change with the same id returns
+// the first result, so keep the id if an outcome is unknown.
 func NewChangeID() string { return ulid.Make().String() }
 
 // Exit codes of cactusctl, for scripts.
@@ -39,16 +40,16 @@
 	ExitUnreachable = 6
 )
 
-// OutcomeError is a command that did not succeed, with its exit code.
+// OutcomeError is the error of a command that did not succeed, with its exit code.
 type OutcomeError struct {
 	Code    int
 	Message string
 }
 
-// Error is the message for the operator.
+// Error returns the message for the operator.
 func (e *OutcomeError) Error() string { return e.Message }
 
-// ExitCode is the exit code of an error.
+// ExitCode returns the exit code for an error.
 func ExitCode(err error) int {
 	var outcome *OutcomeError
 	switch {
@@ -60,11 +61,11 @@
 	return ExitFailed
 }
 
-// Submit has a text agreed on. It resends under the same id until an answer
-// comes or ctx ends, so that a lost answer does not leave the outcome open.
+// Submit submits an estate text. It resends it with the same id until a response
+// arrives or ctx ends, so that a lost response does not leave the outcome unknown.
 func (c *Client) Submit(ctx context.Context, text []byte, base uint64, changeID string) (*apiv1.AuditRecord, error) {
 	req := &apiv1.SubmitRequest{ChangeId: changeID, Operator: c.Name, BaseRevision: base, Text: text}
-	return c.change(ctx, changeID, func(ctx context.Context, r *controlclient.Replica) (*apiv1.AuditRecord, error) {
+	return c.submitChange(ctx, changeID, func(ctx context.Context, r *controlclient.Replica) (*apiv1.AuditRecord, error) {
 		resp, err := r.Command.Submit(ctx, connect.NewRequest(req))
 		if err != nil {
 			return nil, err
@@ -73,10 +74,10 @@
 	})
 }
 
-// Drain announces a planned stop of a host, or its end. It resends as Submit does.
+// Drain announces a planned stop of a host, or cancels it. It resends as Submit does.
 func (c *Client) Drain(ctx context.Context, host string, draining bool, changeID string) (*apiv1.AuditRecord, error) {
 	req := &apiv1.DrainRequest{ChangeId: changeID, Operator: c.Name, Host: host, Draining: draining}
-	return c.change(ctx, changeID, func(ctx context.Context, r *controlclient.Replica) (*apiv1.AuditRecord, error) {
+	return c.submitChange(ctx, changeID, func(ctx context.Context, r *controlclient.Replica) (*apiv1.AuditRecord, error) {
 		resp, err := r.Command.Drain(ctx, connect.NewRequest(req))
 		if err != nil {
 			return nil, err
@@ -85,10 +86,11 @@
 	})
 }
 
-// Evacuate empties a data centre, or takes that back. It resends as Submit does.
+// Evacuate evacuates a data centre, or cancels its evacuation. It resends as Submit
+// does.
 func (c *Client) Evacuate(ctx context.Context, dataCenter string, evacuated bool, changeID string) (*apiv1.AuditRecord, error) {
 	req := &apiv1.EvacuateRequest{ChangeId: changeID, Operator: c.Name, DataCenter: dataCenter, Evacuated: evacuated}
-	return c.change(ctx, changeID, func(ctx context.Context, r *controlclient.Replica) (*apiv1.AuditRecord, error) {
+	return c.submitChange(ctx, changeID, func(ctx context.Context, r *controlclient.Replica) (*apiv1.AuditRecord, error) {
 		resp, err := r.Command.Evacuate(ctx, connect.NewRequest(req))
 		if err != nil {
 			return nil, err
@@ -97,8 +99,8 @@
 	})
 }
 
-// change sends a change until it is decided or ctx ends.
-func (c *Client) change(ctx context.Context, changeID string, send func(context.Context, *controlclient.Replica) (*apiv1.AuditRecord, error)) (*apiv1.AuditRecord, error) {
+// submitChange sends a change until it is decided or ctx ends.
+func (c *Client) submitChange(ctx context.Context, changeID string, send func(context.Context, *controlclient.Replica) (*apiv1.AuditRecord, error)) (*apiv1.AuditRecord, error) {
 	var record *apiv1.AuditRecord
 	err := c.Control.CallWithRetry(ctx, func(ctx context.Context, r *controlclient.Replica) error {
 		answer, err := send(ctx, r)
@@ -108,29 +110,29 @@
 		return err
 	})
 	if err != nil {
-		return nil, changeFailed(err, changeID)
+		return nil, changeError(err, changeID)
 	}
-	return record, outcomeOf(record)
+	return record, outcomeError(record)
 }
 
-// changeFailed tells a change that may have been agreed from one that was not
+// changeError distinguishes a change that may have been accepted from one that was not
 // sent or not allowed.
-func changeFailed(err error, changeID string) error {
+func changeError(err error, changeID string) error {
 	switch kind, _ := fault.Of(err); kind {
 	case fault.Unauthorized, fault.Invalid:
-		return &OutcomeError{ExitRefused, "refused: " + reason(err)}
+		return &OutcomeError{ExitRefused, "refused: " + errorMessage(err)}
 	case fault.NotLeader:
 		return &OutcomeError{ExitUnreachable, "no leader: a majority of the control replicas must run and reach each other; nothing was changed"}
 	}
 	if errors.Is(err, controlclient.ErrUnreachable) || connect.CodeOf(err) == connect.CodeUnavailable {
-		return &OutcomeError{ExitUnreachable, "cannot reach the control replicas: " + reason(err) +
-			"; if an answer was lost the change may stand, find out with `cactusctl audit --change " + changeID + "`"}
+		return &OutcomeError{ExitUnreachable, "cannot reach the control replicas: " + errorMessage(err) +
+			"; if a response was lost, the change may have been accepted; check with `cactusctl audit --change " + changeID + "`"}
 	}
-	return &OutcomeError{ExitUnknown, "outcome unknown: the change may or may not have been accepted; find out with `cactusctl audit --change " + changeID +
+	return &OutcomeError{ExitUnknown, "outcome unknown: the change may or may not have been accepted; check with `cactusctl audit --change " + changeID +
 		"`, or run the same command again with --change-id " + changeID}
 }
 
-func reason(err error) string {
+func errorMessage(err error) string {
 	var e *connect.Error
 	if errors.As(err, &e) {
 		return e.Message()
@@ -138,20 +140,20 @@
 	return err.Error()
 }
 
-func outcomeOf(r *apiv1.AuditRecord) error {
+func outcomeError(r *apiv1.AuditRecord) error {
 	switch r.Outcome {
 	case apiv1.Outcome_OUTCOME_ACCEPTED:
 		return nil
 	case apiv1.Outcome_OUTCOME_CONFLICT:
 		return &OutcomeError{ExitConflict, fmt.Sprintf("conflict: the newest revision is %d, not the one this change is based on; nothing was changed. "+
-			"See what came between with `cactusctl diff FILE`, then submit with --base %d", r.Revision, r.Revision)}
+			"See the changes since with `cactusctl diff FILE`, then submit with --base %d", r.Revision, r.Revision)}
 	case apiv1.Outcome_OUTCOME_ID_REUSED:
 		return &OutcomeError{ExitRefused, "refused: this change id was used for another change; nothing was changed. Use a new id"}
 	}
 	return &OutcomeError{ExitRefused, "refused, nothing was changed:\n" + Problems(r.Problems)}
 }
 
-// Problems renders the faults of a text, one a line.
+// Problems formats the errors in an estate text, one per line.
 func Problems(problems []*apiv1.Problem) string {
 	var b strings.Builder
 	for _, p := range problems {
@@ -164,7 +166,7 @@
 	return strings.TrimSuffix(b.String(), "\n")
 }
 
-// query calls the leader until it answers or ctx ends.
+// query calls the leader until it responds or ctx ends.
 func query[T any](ctx context.Context, c *Client, call func(context.Context, *controlclient.Replica) (*connect.Response[T], error)) (*T, error) {
 	var answer *T
 	err := c.Control.CallWithRetry(ctx, func(ctx context.Context, r *controlclient.Replica) error {
@@ -175,26 +177,26 @@
 		return err
 	})
 	if err != nil {
-		return nil, &OutcomeError{ExitUnreachable, "cannot reach the leader of the control replicas: " + reason(err) + "; check that a majority of them runs"}
+		return nil, &OutcomeError{ExitUnreachable, "cannot reach the leader of the control replicas: " + errorMessage(err) + "; check that a majority of them runs"}
 	}
 	return answer, nil
 }
 
-// Status sums up the cluster.
+// Status returns a summary of the cluster.
 func (c *Client) Status(ctx context.Context) (*apiv1.StatusResponse, error) {
 	return query(ctx, c, func(ctx context.Context, r *controlclient.Replica) (*connect.Response[apiv1.StatusResponse], error) {
 		return r.Query.Status(ctx, connect.NewRequest(&apiv1.StatusRequest{}))
 	})
 }
 
-// Show returns an institution's newest text.
+// Show returns an institution's newest estate text.
 func (c *Client) Show(ctx context.Context, institution string) (*apiv1.ShowResponse, error) {
 	return query(ctx, c, func(ctx context.Context, r *controlclient.Replica) (*connect.Response[apiv1.ShowResponse], error) {
 		return r.Query.Show(ctx, connect.NewRequest(&apiv1.ShowRequest{Institution: institution}))
 	})
 }
 
-// Audit returns decided changes after a log index, or the one with an id.
+// Audit returns the decided changes after a log index, or the one with the given id.
 func (c *Client) Audit(ctx context.Context, after uint64, changeID string, limit uint32) ([]*apiv1.AuditRecord, error) {
 	resp, err := query(ctx, c, func(ctx context.Context, r *controlclient.Replica) (*connect.Response[apiv1.AuditResponse], error) {
 		return r.Query.Audit(ctx, connect.NewRequest(&apiv1.AuditRequest{AfterIndex: after, ChangeId: changeID, Limit: limit}))
@@ -207,8 +209,8 @@
 
 const pollInterval = 100 * time.Millisecond
 
-// WaitInForce polls until at least nodes nodes, and one at least, are known and
-// all have the revision in force. A leader that was just chosen knows of none.
+// WaitInForce polls until at least nodes nodes (and at least one) are known and the
+// revision is in force on all of them. A leader that was just elected knows of none.
 func (c *Client) WaitInForce(ctx context.Context, revision uint64, nodes int) (*apiv1.StatusResponse, error) {
 	for {
 		s, err := c.Status(ctx)
@@ -218,7 +220,7 @@
 		if s.Revision >= revision && int(s.Nodes) >= max(1, nodes) && s.InForce == s.Nodes {
 			return s, nil
 		}
-		if !pause(ctx) {
+		if !waitForPoll(ctx) {
 			return s, &OutcomeError{ExitFailed, fmt.Sprintf("revision %d is in force on %d of %d nodes only; see `cactusctl status`", revision, s.InForce, s.Nodes)}
 		}
 	}
@@ -236,13 +238,13 @@
 				return nil
 			}
 		}
-		if !pause(ctx) {
+		if !waitForPoll(ctx) {
 			return &OutcomeError{ExitFailed, fmt.Sprintf("the drain of %s is announced but not finished; see `cactusctl status`, or wait longer with --timeout", host)}
 		}
 	}
 }
 
-func pause(ctx context.Context) bool {
+func waitForPoll(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -251,7 +253,7 @@
 	}
 }
 
-// OutcomeWord names an outcome in an operator's words.
+// OutcomeWord returns the text for an outcome that is shown to operators.
 func OutcomeWord(o apiv1.Outcome) string {
 	switch o {
 	case apiv1.Outcome_OUTCOME_ACCEPTED:
--- a/internal/operator/replicas.go
+++ b/internal/operator/replicas.go
@@ -13,9 +13,9 @@
 	"cactuspath/internal/controlclient"
 )
 
-const memberPoll = 200 * time.Millisecond
+const memberPollInterval = 200 * time.Millisecond
 
-// AddReplica admits the replica that waits at an address: a learner first, a
+// AddReplica admits the replica that waits at an address: first as a learner, then as a
 // voter once it has caught up.
 func (c *Client) AddReplica(ctx context.Context, address string) (*apiv1.Membership, error) {
 	waiting, err := c.waitingReplica(ctx, address)
@@ -33,11 +33,11 @@
 	return c.changeReplica(ctx, &apiv1.ChangeReplicaRequest{Action: apiv1.ChangeReplicaRequest_ACTION_PROMOTE, MemberId: waiting.MemberId})
 }
 
-// ReplaceReplica admits the replica that waits at an address and then removes
-// the lost one. The new one votes before the old one goes, so that the number
-// of votes that can be lost never falls below what it was.
+// ReplaceReplica admits the replica that waits at an address and then removes the lost
+// one. The new replica gets its vote before the old one is removed, so that the number
+// of votes that can be lost never drops below what it was.
 func (c *Client) ReplaceReplica(ctx context.Context, name, address string) (*apiv1.Membership, error) {
-	lost, err := c.memberNamed(ctx, name, address)
+	lost, err := c.findMemberID(ctx, name, address)
 	if err != nil {
 		return nil, err
 	}
@@ -49,7 +49,7 @@
 
 // RemoveReplica removes a replica by name.
 func (c *Client) RemoveReplica(ctx context.Context, name string) (*apiv1.Membership, error) {
-	id, err := c.memberNamed(ctx, name, "")
+	id, err := c.findMemberID(ctx, name, "")
 	if err != nil {
 		return nil, err
 	}
@@ -59,36 +59,37 @@
 func (c *Client) waitingReplica(ctx context.Context, address string) (*apiv1.LogStatusResponse, error) {
 	resp, err := c.Control.At(address).Log.LogStatus(ctx, connect.NewRequest(&apiv1.LogStatusRequest{}))
 	if err != nil {
-		return nil, &OutcomeError{ExitUnreachable, fmt.Sprintf("cannot reach the replica at %s: %s; start it with an empty data folder first", address, reason(err))}
+		return nil, &OutcomeError{ExitUnreachable, fmt.Sprintf("cannot reach the replica at %s: %s; start it with an empty data folder first", address, errorMessage(err))}
 	}
 	return resp.Msg, nil
 }
 
-// memberNamed finds a member by name. When two have the name, as after half a
-// replacement, it is the one whose id is not that of the replica at address.
-func (c *Client) memberNamed(ctx context.Context, name, address string) (uint64, error) {
+// findMemberID finds a member by name. If two members have the name, as after a
+// half-finished replacement, it returns the one whose id differs from that of the replica
+// at address.
+func (c *Client) findMemberID(ctx context.Context, name, address string) (uint64, error) {
 	s, err := c.Status(ctx)
 	if err != nil {
 		return 0, err
 	}
-	newcomer := uint64(0)
+	newID := uint64(0)
 	if address != "" {
 		waiting, err := c.waitingReplica(ctx, address)
 		if err != nil {
 			return 0, err
 		}
-		newcomer = waiting.MemberId
+		newID = waiting.MemberId
 	}
 	for _, m := range s.Log.Membership.GetMembers() {
-		if m.Name == name && m.Id != newcomer {
+		if m.Name == name && m.Id != newID {
 			return m.Id, nil
 		}
 	}
 	return 0, &OutcomeError{ExitRefused, fmt.Sprintf("no member is named %s; `cactusctl status` lists them", name)}
 }
 
-// changeReplica repeats a change of members until it is done, since the leader
-// refuses it while another is under way or a learner catches up.
+// changeReplica repeats a membership change until it is done, since the leader refuses
+// it while another one is in progress or a learner is catching up.
 func (c *Client) changeReplica(ctx context.Context, req *apiv1.ChangeReplicaRequest) (*apiv1.Membership, error) {
 	req.Operator = c.Name
 	for {
@@ -108,18 +109,18 @@
 		}
 		kind, _ := fault.Of(err)
 		if kind != fault.NotCaughtUp && kind != fault.ChangePending {
-			return nil, &OutcomeError{ExitRefused, "refused: " + reason(err)}
+			return nil, &OutcomeError{ExitRefused, "refused: " + errorMessage(err)}
 		}
 		select {
 		case <-ctx.Done():
-			return nil, &OutcomeError{ExitUnknown, "not done in time: " + reason(err) + "; run the same command again"}
-		case <-time.After(memberPoll):
+			return nil, &OutcomeError{ExitUnknown, "timed out: " + errorMessage(err) + "; run the same command again"}
+		case <-time.After(memberPollInterval):
 		}
 	}
 }
 
-// alreadyDone tells whether the members are as the request wants them: an
-// earlier try may have been agreed although its answer was lost.
+// alreadyDone reports whether the membership is already as requested: an earlier try
+// may have been accepted although its response was lost.
 func (c *Client) alreadyDone(ctx context.Context, req *apiv1.ChangeReplicaRequest) (bool, *apiv1.Membership) {
 	s, err := c.Status(ctx)
 	if err != nil {
