--- a/internal/process/extra.go
+++ b/internal/process/extra.go
@@ -17,14 +17,14 @@
 	"cactuspath/internal/settings"
 )
 
-// extraListener is a listener beside those of the node and the replica.
+// extraListener is a listener in addition to those of the node and the replica.
 type extraListener struct {
 	listener net.Listener
 	handler  http.Handler
 }
 
-// choose finds the adapter that the settings name and lets it read its options.
-func choose(s *settings.Settings, adapters map[string]adapter.Adapter) (adapter.Adapter, error) {
+// chooseAdapter finds the adapter that the settings name and passes its options to it.
+func chooseAdapter(s *settings.Settings, adapters map[string]adapter.Adapter) (adapter.Adapter, error) {
 	if s.Adapter == nil {
 		return nil, nil
 	}
@@ -42,7 +42,7 @@
 	return p.adapter.Dialect()
 }
 
-// openExtra opens the listeners of the adapter and of the metrics.
+// openExtra opens the listeners of the adapter and the metrics.
 func (p *Process) openExtra() error {
 	if p.adapter != nil && p.Node != nil {
 		handler := p.adapter.NodeHandler(p.Node)
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// vars are the metrics of all parts of the process.
+// vars returns the metrics of all parts of the process.
 func (p *Process) vars() map[string]expvar.Var {
 	all := map[string]expvar.Var{}
 	if p.Node != nil {
@@ -81,7 +81,7 @@
 	return all
 }
 
-// serveExtra serves the extra listeners; the function it returns closes them.
+// serveExtra serves the extra listeners; the returned function closes them.
 func (p *Process) serveExtra() (closeAll func()) {
 	var servers []*http.Server
 	for _, e := range p.extra {
@@ -100,11 +100,12 @@
 	}
 }
 
-// rpcPrefix begins the paths of all calls between our own processes.
+// rpcPrefix is the path prefix of all calls between the project's own processes.
 const rpcPrefix = "/cactuspath.v1."
 
-// either serves our own calls by the first handler and all others by the second.
-func either(own, other http.Handler) http.Handler {
+// routeByPrefix routes the project's own calls to the first handler and all others to
+// the second.
+func routeByPrefix(own, other http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, rpcPrefix) {
 			own.ServeHTTP(w, r)
--- a/internal/process/group_test.go
+++ b/internal/process/group_test.go
@@ -18,81 +18,81 @@
 	"cactuspath/internal/settings"
 )
 
-// site is a control group in this process, as a platform starts one: everybody
-// gets the same three addresses and nobody is told how many there are.
-type site struct {
+// controlGroup is a control group in this process, set up as a platform does it: all
+// processes get the same three addresses, and none is told the size of the group.
+type controlGroup struct {
 	t         *testing.T
 	folder    string
 	addresses []string
-	running   map[int]*run
+	running   map[int]*runningProcess
 }
 
-type run struct {
+type runningProcess struct {
 	process *Process
 	stop    context.CancelFunc
 	done    chan struct{}
 }
 
-func newSite(t *testing.T, size int) *site {
-	s := &site{t: t, folder: t.TempDir(), running: map[int]*run{}}
+func newControlGroup(t *testing.T, size int) *controlGroup {
+	g := &controlGroup{t: t, folder: t.TempDir(), running: map[int]*runningProcess{}}
 	for range size {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
-		s.addresses = append(s.addresses, l.Addr().String())
+		g.addresses = append(g.addresses, l.Addr().String())
 		assert.NilError(t, l.Close())
 	}
 	t.Cleanup(func() {
-		for i := range s.addresses {
-			s.stop(i)
+		for i := range g.addresses {
+			g.stop(i)
 		}
 	})
-	return s
+	return g
 }
 
-func (s *site) data(i int) string { return filepath.Join(s.folder, fmt.Sprint(i)) }
+func (g *controlGroup) dataFolder(i int) string { return filepath.Join(g.folder, fmt.Sprint(i)) }
 
-func (s *site) start(i int, found bool) {
-	s.t.Helper()
-	p, err := Open(&settings.Settings{Host: fmt.Sprint("h", i), ControlReplicas: s.addresses[:3], Control: &settings.Control{
-		Name: fmt.Sprint("c", i), Address: s.addresses[i], Listen: s.addresses[i], DataFolder: s.data(i), Group: &settings.Group{Tolerate: 2, Found: found}}}, nil)
-	assert.NilError(s.t, err)
+func (g *controlGroup) start(i int, found bool) {
+	g.t.Helper()
+	p, err := Open(&settings.Settings{Host: fmt.Sprint("h", i), ControlReplicas: g.addresses[:3], Control: &settings.Control{
+		Name: fmt.Sprint("c", i), Address: g.addresses[i], Listen: g.addresses[i], DataFolder: g.dataFolder(i), Group: &settings.Group{Tolerate: 2, Found: found}}}, nil)
+	assert.NilError(g.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &run{p, cancel, make(chan struct{})}
+	r := &runningProcess{p, cancel, make(chan struct{})}
 	go func() {
 		defer close(r.done)
 		_ = p.Run(ctx)
 	}()
-	s.running[i] = r
+	g.running[i] = r
 }
 
-func (s *site) stop(i int) {
-	if r := s.running[i]; r != nil {
+func (g *controlGroup) stop(i int) {
+	if r := g.running[i]; r != nil {
 		r.stop()
 		<-r.done
-		delete(s.running, i)
+		delete(g.running, i)
 	}
 }
 
-func eventually(t *testing.T, what string, within time.Duration, test func() bool) {
+func eventually(t *testing.T, what string, within time.Duration, condition func() bool) {
 	t.Helper()
-	for until := time.Now().Add(within); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
-		if test() {
+	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	t.Fatal("not within ", within, ": ", what)
+	t.Fatal("condition not met within ", within, ": ", what)
 }
 
-func text(revision int) []byte {
+func estateText(revision int) []byte {
 	return fmt.Appendf(nil, `{"institution": "site", "revision": %d, "services": {"a": {"slots": 1}}}`, revision)
 }
 
-// submit sends a change to every replica in turn, as an operator does, until one
-// accepts it.
-func (s *site) submit(revision, base int) bool {
-	for _, r := range s.running {
+// submit sends a change to each replica in turn, as an operator does, until one accepts
+// it.
+func (g *controlGroup) submit(revision, base int) bool {
+	for _, r := range g.running {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		record, err := r.process.Replica.Submit(ctx, "op", replica.Submission{ID: fmt.Sprint(revision), BaseRevision: uint64(base), Text: text(revision), ContentID: true})
+		record, err := r.process.Replica.Submit(ctx, "op", replica.Submission{ID: fmt.Sprint(revision), BaseRevision: uint64(base), Text: estateText(revision), ContentID: true})
 		cancel()
 		if err == nil && record.Outcome == apiv1.Outcome_OUTCOME_ACCEPTED {
 			return true
@@ -101,8 +101,8 @@
 	return false
 }
 
-func (s *site) voters() int {
-	for _, r := range s.running {
+func (g *controlGroup) voters() int {
+	for _, r := range g.running {
 		if st := r.process.Replica.Status(); st.Leader == st.ID {
 			return st.Voters()
 		}
@@ -110,33 +110,33 @@
 	return 0
 }
 
-// Three founders alone must acknowledge nothing: two of their disks could be lost
-// with it. Once five vote, a change counts; it survives the loss of two disks at
-// once, and both replicas come back as new members.
-func TestGroupFormsByItselfAndOutlivesTwoLostDisks(t *testing.T) {
-	s := newSite(t, 5)
+// Three founders alone must not acknowledge a change: it would be lost with two of
+// their disks. Once there are five voters, a change is acknowledged; it survives the
+// loss of two disks at once, and both replicas return as new members.
+func TestGroupBootstrapsAndSurvivesTwoLostDisks(t *testing.T) {
+	g := newControlGroup(t, 5)
 	for i := range 3 {
-		s.start(i, true)
-	}
-	eventually(t, "three voters", 10*time.Second, func() bool { return s.voters() == 3 })
-	assert.Assert(t, !s.submit(1, 0), "a change was acknowledged that two lost disks could take back")
-	s.start(3, true)
-	s.start(4, true)
-	eventually(t, "five voters", 10*time.Second, func() bool { return s.voters() == 5 })
-	eventually(t, "accepted", 10*time.Second, func() bool { return s.submit(1, 0) })
+		g.start(i, true)
+	}
+	eventually(t, "three voters", 10*time.Second, func() bool { return g.voters() == 3 })
+	assert.Assert(t, !g.submit(1, 0), "a change was acknowledged that would be lost with two disks")
+	g.start(3, true)
+	g.start(4, true)
+	eventually(t, "five voters", 10*time.Second, func() bool { return g.voters() == 5 })
+	eventually(t, "accepted", 10*time.Second, func() bool { return g.submit(1, 0) })
 	for _, i := range []int{0, 4} {
-		s.stop(i)
-		assert.NilError(t, os.RemoveAll(s.data(i)))
-	}
-	eventually(t, "still readable", 10*time.Second, func() bool { return s.newest() == 1 })
-	s.start(0, false)
-	s.start(4, false)
-	eventually(t, "both vote again, and nobody else", 10*time.Second, func() bool { return s.voters() == 5 })
-	eventually(t, "accepted", 10*time.Second, func() bool { return s.submit(2, 1) })
+		g.stop(i)
+		assert.NilError(t, os.RemoveAll(g.dataFolder(i)))
+	}
+	eventually(t, "change is still readable", 10*time.Second, func() bool { return g.newest() == 1 })
+	g.start(0, false)
+	g.start(4, false)
+	eventually(t, "both vote again, and nobody else", 10*time.Second, func() bool { return g.voters() == 5 })
+	eventually(t, "accepted", 10*time.Second, func() bool { return g.submit(2, 1) })
 }
 
-func (s *site) newest() uint64 {
-	for _, r := range s.running {
+func (g *controlGroup) newest() uint64 {
+	for _, r := range g.running {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		doc, err := r.process.Replica.Newest(ctx, "site")
 		cancel()
@@ -147,28 +147,28 @@
 	return 0
 }
 
-// The same change reaches another replica after its answer was lost, also after
-// all restarted: it gets the first answer, and a read gives back what was sent.
-func TestResentChangeGetsItsFirstAnswerAfterARestartOfAll(t *testing.T) {
-	s := newSite(t, 5)
+// The same change reaches another replica after its response was lost, also after all
+// processes restarted: it gets the first result, and a read returns what was sent.
+func TestResentChangeGetsFirstResultAfterFullRestart(t *testing.T) {
+	g := newControlGroup(t, 5)
 	for i := range 5 {
-		s.start(i, true)
+		g.start(i, true)
 	}
-	eventually(t, "accepted", 15*time.Second, func() bool { return s.submit(1, 0) })
-	eventually(t, "accepted", 5*time.Second, func() bool { return s.submit(2, 1) })
+	eventually(t, "accepted", 15*time.Second, func() bool { return g.submit(1, 0) })
+	eventually(t, "accepted", 5*time.Second, func() bool { return g.submit(2, 1) })
 	for i := range 5 {
-		s.stop(i)
+		g.stop(i)
 	}
 	for i := range 5 {
-		s.start(i, false)
+		g.start(i, false)
 	}
-	eventually(t, "the first answer again", 15*time.Second, func() bool { return s.submit(1, 0) })
-	assert.Equal(t, s.newest(), uint64(2))
+	eventually(t, "the same change gets its first result", 15*time.Second, func() bool { return g.submit(1, 0) })
+	assert.Equal(t, g.newest(), uint64(2))
 }
 
-// evacuate gives an order to every replica in turn until one accepts it.
-func (s *site) evacuate(dataCenter string, evacuated bool) bool {
-	for _, r := range s.running {
+// evacuate sends an evacuation to each replica in turn until one accepts it.
+func (g *controlGroup) evacuate(dataCenter string, evacuated bool) bool {
+	for _, r := range g.running {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		record, err := r.process.Replica.Evacuate(ctx, "op", replica.Evacuation{ID: fmt.Sprint(time.Now().UnixNano()), DataCenter: dataCenter, Evacuated: evacuated})
 		cancel()
@@ -179,10 +179,10 @@
 	return false
 }
 
-// evacuated tells whether a confirmed status says that the data centre is evacuated.
-func (s *site) evacuated(dataCenter string) bool {
-	for i := range s.running {
-		client := &operator.Client{Control: controlclient.New(nil, []string{s.addresses[i]}, "")}
+// evacuated reports whether a confirmed status shows the data centre as evacuated.
+func (g *controlGroup) evacuated(dataCenter string) bool {
+	for i := range g.running {
+		client := &operator.Client{Control: controlclient.New(nil, []string{g.addresses[i]}, "")}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		status, err := client.Status(ctx)
 		cancel()
@@ -199,31 +199,31 @@
 	return false
 }
 
-// Guards against an acknowledged evacuation that is gone: two disks are lost at once
-// right after it, then every process ends.
-func TestEvacuationOutlivesTwoLostDisksAndARestartOfAll(t *testing.T) {
-	s := newSite(t, 5)
+// Guards against losing an acknowledged evacuation: two disks are lost at once right
+// after it, then every process ends.
+func TestEvacuationSurvivesTwoLostDisksAndFullRestart(t *testing.T) {
+	g := newControlGroup(t, 5)
 	for i := range 5 {
-		s.start(i, true)
+		g.start(i, true)
 	}
-	eventually(t, "accepted", 15*time.Second, func() bool { return s.submit(1, 0) })
-	eventually(t, "evacuated", 5*time.Second, func() bool { return s.evacuate("a", true) })
+	eventually(t, "accepted", 15*time.Second, func() bool { return g.submit(1, 0) })
+	eventually(t, "evacuated", 5*time.Second, func() bool { return g.evacuate("a", true) })
 	for _, i := range []int{1, 3} {
-		s.stop(i)
-		assert.NilError(t, os.RemoveAll(s.data(i)))
+		g.stop(i)
+		assert.NilError(t, os.RemoveAll(g.dataFolder(i)))
 	}
-	eventually(t, "still in force", 10*time.Second, func() bool { return s.evacuated("a") })
-	s.start(1, false)
-	s.start(3, false)
-	eventually(t, "five voters", 10*time.Second, func() bool { return s.voters() == 5 })
+	eventually(t, "evacuation still in force", 10*time.Second, func() bool { return g.evacuated("a") })
+	g.start(1, false)
+	g.start(3, false)
+	eventually(t, "five voters", 10*time.Second, func() bool { return g.voters() == 5 })
 	for i := range 5 {
-		s.stop(i)
+		g.stop(i)
 	}
 	for i := range 5 {
-		s.start(i, false)
+		g.start(i, false)
 	}
-	eventually(t, "in force after the restart", 15*time.Second, func() bool { return s.evacuated("a") })
-	eventually(t, "taken back", 5*time.Second, func() bool { return s.evacuate("a", false) })
-	assert.Assert(t, !s.evacuated("a"))
-	assert.Equal(t, s.newest(), uint64(1))
+	eventually(t, "evacuation in force after the restart", 15*time.Second, func() bool { return g.evacuated("a") })
+	eventually(t, "evacuation canceled", 5*time.Second, func() bool { return g.evacuate("a", false) })
+	assert.Assert(t, !g.evacuated("a"))
+	assert.Equal(t, g.newest(), uint64(1))
 }
--- a/internal/process/init.go
+++ b/internal/process/init.go
@@ -14,12 +14,12 @@
 	"cactuspath/internal/wal"
 )
 
-const askTimeout = 2 * time.Second
+const logStatusTimeout = 2 * time.Second
 
-// Init claims the data folder of a founding replica. It refuses when another
-// founder answers with a log that has begun: this replica then had a disk
-// before, and claiming the empty one under the same id would let it vote as
-// its former self, against what it voted and acknowledged then.
+// Init writes the identity into the data folder of a founding replica. It fails if
+// another founder responds with a log that already has entries: this replica then had a
+// disk before, and if it took the same id on the empty one, it could vote as its former
+// self, against its earlier votes and acknowledgements.
 func Init(ctx context.Context, s *settings.Settings) error {
 	if s.Control == nil {
 		return errors.New("the settings have no control block; init is for control replicas only")
@@ -36,7 +36,7 @@
 	for name, address := range s.Control.Founders {
 		id.Founders[name] = wal.Member{ID: FounderID(name), Address: address}
 		if name != s.Control.Name {
-			if err := refuseIfBegun(ctx, client, name, address); err != nil {
+			if err := refuseIfLogExists(ctx, client, name, address); err != nil {
 				return err
 			}
 		}
@@ -44,8 +44,8 @@
 	return wal.WriteIdentity(s.Control.DataFolder, id)
 }
 
-func refuseIfBegun(ctx context.Context, client *controlclient.Client, name, address string) error {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func refuseIfLogExists(ctx context.Context, client *controlclient.Client, name, address string) error {
+	ctx, cancel := context.WithTimeout(ctx, logStatusTimeout)
 	defer cancel()
 	resp, err := client.At(address).Log.LogStatus(ctx, connect.NewRequest(&apiv1.LogStatusRequest{}))
 	if err != nil {
@@ -53,7 +53,7 @@
 		return nil
 	}
 	if resp.Msg.Commit > 0 {
-		return errors.Newf("founder %s at %s already holds changes, so this cluster began before; start this replica with its empty data folder "+
+		return errors.Newf("founder %s at %s already holds changes, so this cluster has been started before; start this replica with its empty data folder "+
 			"and run `cactusctl replica replace` so that it returns as a new member", name, address)
 	}
 	return nil
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -29,7 +29,7 @@
 	"cactuspath/internal/wal"
 )
 
-// Process is one running process.
+// Process holds the parts of one process: a node, a control replica, or both.
 type Process struct {
 	Settings *settings.Settings
 	Node     *node.Node
@@ -38,19 +38,20 @@
 	security *transport.Security
 	adapter  adapter.Adapter
 	client   *controlclient.Client
-	// extra are the listeners of the adapter and of the metrics.
+	// extra holds the listeners of the adapter and the metrics.
 	extra []extraListener
 }
 
-// Open opens the listeners and the data folder; nothing is served yet. The
-// settings may name one of the adapters.
+// Open opens the listeners and the data folder without serving yet. The settings may
+// name one of the adapters.
 func Open(s *settings.Settings, adapters map[string]adapter.Adapter) (*Process, error) {
 	return OpenOn(s, nil, adapters)
 }
 
-// OpenOn is Open with the control replica's listener open already, or nil.
+// OpenOn is like Open, but takes an open listener for the control replica; if it is
+// nil, OpenOn opens one.
 func OpenOn(s *settings.Settings, control net.Listener, adapters map[string]adapter.Adapter) (*Process, error) {
-	chosen, err := choose(s, adapters)
+	chosen, err := chooseAdapter(s, adapters)
 	if err != nil {
 		return nil, err
 	}
@@ -74,7 +75,7 @@
 
 func (p *Process) openControl() error {
 	c := p.Settings.Control
-	p.claimFolderWhenDiskWorks()
+	p.initDataFolderWithRetry()
 	options := replica.Options{Name: c.Name, Address: c.Address, DataFolder: c.DataFolder, Security: p.security, Operators: operators(c), DataCenters: c.DataCenters}
 	if c.Group != nil {
 		options.Group = &replica.Group{Tolerate: c.Group.Tolerate, Control: p.client}
@@ -90,36 +91,37 @@
 	return err
 }
 
-// folderRetry is how often a data folder that refuses writes is tried again.
-const folderRetry = 500 * time.Millisecond
+// dataFolderRetryInterval is how often a data folder that cannot be written is tried
+// again.
+const dataFolderRetryInterval = 500 * time.Millisecond
 
-// claimFolderWhenDiskWorks waits for a disk that is full or broken: ending the
-// process would only have it started again in front of the same disk.
-func (p *Process) claimFolderWhenDiskWorks() {
+// initDataFolderWithRetry waits while the disk is full or broken: if the process
+// exited, it would be restarted with the same disk.
+func (p *Process) initDataFolderWithRetry() {
 	for logged := false; ; logged = true {
-		err := p.claimFolder()
+		err := p.initDataFolder()
 		if err == nil {
 			return
 		}
 		if !logged {
 			klog.ErrorS(err, "Data folder cannot be written; waiting for the disk", "folder", p.Settings.Control.DataFolder)
 		}
-		time.Sleep(folderRetry)
+		time.Sleep(dataFolderRetryInterval)
 	}
 }
 
-// claimFolder gives an empty data folder its identity. It starts as a new member
-// that waits to be admitted: it has no vote, and never that of the replica it
-// replaces. Only at the first start of the whole system do the addresses that
-// all processes were given found the group.
-func (p *Process) claimFolder() error {
+// initDataFolder writes an identity into an empty data folder. The replica starts as a
+// new member that waits to be admitted: it has no vote, and never takes over that of
+// the replica it replaces. Only at the first start of the whole system do the addresses
+// in the settings of all processes become the founders of the group.
+func (p *Process) initDataFolder() error {
 	c := p.Settings.Control
 	if wal.HasIdentity(c.DataFolder) {
 		return nil
 	}
 	id := wal.Identity{MemberID: newMemberID(), Name: c.Name}
-	founds := c.Group != nil && c.Group.Found && slices.Contains(p.Settings.ControlReplicas, c.Address)
-	if founds {
+	isFounder := c.Group != nil && c.Group.Found && slices.Contains(p.Settings.ControlReplicas, c.Address)
+	if isFounder {
 		id.MemberID, id.Founders = FounderID(c.Address), map[string]wal.Member{}
 		for _, address := range p.Settings.ControlReplicas {
 			id.Founders[address] = wal.Member{ID: FounderID(address), Address: address}
@@ -128,8 +130,8 @@
 	if err := wal.WriteIdentity(c.DataFolder, id); err != nil {
 		return err
 	}
-	if founds {
-		klog.InfoS("Empty data folder: founds the control group", "replica", c.Name, "member", id.MemberID, "founders", p.Settings.ControlReplicas)
+	if isFounder {
+		klog.InfoS("Empty data folder: founding the control group", "replica", c.Name, "member", id.MemberID, "founders", p.Settings.ControlReplicas)
 		return nil
 	}
 	klog.InfoS("Empty data folder: waiting to be admitted", "replica", c.Name, "member", id.MemberID, "remedy", "cactusctl replica add, or cactuspath init for a new cluster")
@@ -150,8 +152,8 @@
 	return binary.LittleEndian.Uint64(b[:]) | 1
 }
 
-// FounderID is the member id of a founder: the same on every founder, so that
-// they agree on the first members without talking.
+// FounderID returns the member id of a founder. It is the same on every founder, so
+// that they agree on the first members without communicating.
 func FounderID(name string) uint64 { return xxhash.Sum64String("founder/" + name) }
 
 func (p *Process) openNode() error {
@@ -186,14 +188,14 @@
 	return l, errors.Wrapf(err, "listen on %s; check the address in the settings and whether another process uses it", address)
 }
 
-// peerTries bounds the search for a port that is free for TCP and UDP, where the
-// settings leave the port open (0).
-const peerTries = 20
+// maxPeerPortTries limits the search for a port that is free for both TCP and UDP when
+// the settings leave the port open (0).
+const maxPeerPortTries = 20
 
 // listenPeer opens the peer address for TCP and UDP.
 func listenPeer(address string) (net.Listener, net.PacketConn, error) {
-	var failed error
-	for range peerTries {
+	var lastErr error
+	for range maxPeerPortTries {
 		peer, err := listen(address)
 		if err != nil {
 			return nil, nil, err
@@ -202,16 +204,16 @@
 		if err == nil {
 			return peer, socket, nil
 		}
-		failed = errors.Wrapf(err, "listen on UDP %s; the peer address needs TCP and UDP", peer.Addr())
+		lastErr = errors.Wrapf(err, "listen on UDP %s; the peer address needs TCP and UDP", peer.Addr())
 		_ = peer.Close()
 	}
-	return nil, nil, failed
+	return nil, nil, lastErr
 }
 
 const controlHeaderTimeout = 10 * time.Second
 
-// Run serves until ctx ends, then stops as planned. The error is nil after a
-// planned stop that cut nothing.
+// Run serves until ctx is canceled, then performs a planned stop. The error is nil
+// after a planned stop that cut off nothing.
 func (p *Process) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -233,7 +235,7 @@
 	} else {
 		<-ctx.Done()
 	}
-	// The replica goes last: the node's farewell passes through the relays to it.
+	// The replica stops last: the node's departure reaches it through the relays.
 	if p.Replica != nil {
 		p.stopControl(server, stopReplica)
 	}
@@ -247,7 +249,7 @@
 	router.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) })
 	handler := p.Replica.Handler()
 	if p.adapter != nil {
-		handler = either(handler, p.adapter.EstateHandler(p.Replica))
+		handler = routeByPrefix(handler, p.adapter.EstateHandler(p.Replica))
 	}
 	router.PathPrefix("/").Handler(handler)
 	server := &http.Server{Handler: router, ReadHeaderTimeout: controlHeaderTimeout}
@@ -259,16 +261,16 @@
 	return server
 }
 
-const handOverTime = 300 * time.Millisecond
+const handOverPeriod = 300 * time.Millisecond
 
-// stopControl hands the lead over before it stops, so that changes under way
-// at other replicas do not wait for an election.
+// stopControl hands over leadership before it stops, so that changes in progress at
+// other replicas do not wait for an election.
 func (p *Process) stopControl(server *http.Server, stop context.CancelFunc) {
-	ctx, cancel := context.WithTimeout(context.Background(), handOverTime)
+	ctx, cancel := context.WithTimeout(context.Background(), handOverPeriod)
 	defer cancel()
 	p.Replica.HandOver(ctx)
 	if len(p.Replica.Status().Membership.GetMembers()) > 1 {
-		time.Sleep(handOverTime)
+		time.Sleep(handOverPeriod)
 	}
 	_ = server.Close()
 	stop()
--- a/internal/process/reload.go
+++ b/internal/process/reload.go
@@ -12,16 +12,16 @@
 	"cactuspath/internal/settings"
 )
 
-// reloadInterval is how often the settings file is looked at. A change without a
-// signal then counts within about a second, at the cost of one read a second.
+// reloadInterval is how often the settings file is read. A change without a signal then
+// takes effect within about a second, at the cost of one read a second.
 const reloadInterval = time.Second
 
-// WatchSettings takes in changes of the settings file until ctx ends: at once
-// when signalled says so, otherwise when the file differs from what was read.
+// WatchSettings applies changes of the settings file until ctx is canceled: immediately
+// on a signal, otherwise when the file differs from what was last read.
 func (p *Process) WatchSettings(ctx context.Context, file string, signalled <-chan os.Signal) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
-	held, _ := os.ReadFile(file)
+	current, _ := os.ReadFile(file)
 	for {
 		why := "the file changed"
 		select {
@@ -36,15 +36,15 @@
 			klog.ErrorS(err, "Settings not reloaded; the ones in use stay", "file", file)
 			continue
 		}
-		if bytes.Equal(text, held) {
+		if bytes.Equal(text, current) {
 			continue
 		}
-		held = text
+		current = text
 		p.reload(file, text, why)
 	}
 }
 
-// reload applies what may change while the process runs. A file with faults
+// reload applies the settings that may change while the process runs. An invalid file
 // changes nothing: the settings in use stay.
 func (p *Process) reload(file string, text []byte, why string) {
 	s, problems := settings.Parse(text)
--- a/internal/process/reload_test.go
+++ b/internal/process/reload_test.go
@@ -13,14 +13,14 @@
 	"cactuspath/internal/controlclient"
 )
 
-const reloadable = `{"host": "h", "dataCenter": "d", "region": "r", "controlReplicas": ["ADDRESS"], "node": {"callers": "127.0.0.1:0", "peer": "127.0.0.1:0", "admin": "127.0.0.1:0"}}`
+const reloadSettings = `{"host": "h", "dataCenter": "d", "region": "r", "controlReplicas": ["ADDRESS"], "node": {"callers": "127.0.0.1:0", "peer": "127.0.0.1:0", "admin": "127.0.0.1:0"}}`
 
-// The settings name other control replicas while the process runs, once with a
-// signal and once without. Both count; a file with faults changes nothing.
-func TestSettingsThatChangeWhileTheProcessRuns(t *testing.T) {
+// The settings name other control replicas while the process runs, once with a signal
+// and once without. Both take effect; an invalid file changes nothing.
+func TestSettingsReload(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.jsonc")
 	write := func(address string) {
-		text := []byte(reloadable)
+		text := []byte(reloadSettings)
 		assert.NilError(t, os.WriteFile(file, bytes.Replace(text, []byte("ADDRESS"), []byte(address), 1), 0o600))
 	}
 	write("127.0.0.1:1")
@@ -35,7 +35,7 @@
 	time.Sleep(50 * time.Millisecond)
 	write("127.0.0.1:2")
 	signals <- os.Interrupt
-	eventually(t, "the signal is followed at once", reloadInterval/2, func() bool { return p.client.Addresses()[0] == "127.0.0.1:2" })
+	eventually(t, "the settings are reloaded on the signal", reloadInterval/2, func() bool { return p.client.Addresses()[0] == "127.0.0.1:2" })
 	write("not an address")
 	time.Sleep(reloadInterval + 200*time.Millisecond)
 	assert.Equal(t, p.client.Addresses()[0], "127.0.0.1:2")
