--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -57,7 +57,7 @@
 	Disabled mechanism.Set
 }
 
-// Node is one node. Safe for concurrent use.
+// Node is the node of one host. Safe for concurrent use.
 type Node struct {
 	options     Options
 	start       time.Time
