--- a/internal/node/member.go
+++ b/internal/node/member.go
@@ -8,7 +8,7 @@
 	apiv1 "cactuspath/api/cactuspath/v1"
 )
 
-// minSyncInterval batches updates that arrive in quick succession.
+// minSyncInterval makes updates that arrive in quick succession share one sync.
 const minSyncInterval = 20 * time.Millisecond
 
 // member maintains this node's membership in the directory: it reports to a relay of
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -31,7 +31,7 @@
 	departureLinger = directory.HeartbeatInterval
 )
 
-// stop performs a planned stop. The error names the requests that were cut off because
+// stop performs a planned stop. It returns an error if requests were cut off because
 // the stop timeout passed.
 func (n *Node) stop(servers []httpServer) error {
 	klog.InfoS("Planned stop began", "host", n.options.Host, "callersInFlight", n.callers.current(), "gateInFlight", n.InFlight())
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -58,7 +58,7 @@
 	cursors map[string]*apiv1.ClaimCursor
 	// lastFailure is when each replica was last found unusable.
 	lastFailure map[string]time.Time
-	// disconnected is set while no replica responds.
+	// disconnected is set while no replica is usable.
 	disconnected bool
 }
 
