--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -8,35 +8,37 @@
 	"time"
 )
 
-// streamedBody is a body that is read from the connection while its request is
+// streamedBody is a request body that is read from the connection while its request is
 // served. One goroutine reads it; another may stop it.
 type streamedBody struct {
 	io.ReadCloser
 	w *response
-	// expects: the caller waits to be asked for the body. wanted: it is to be asked
-	// ahead of the answer. Both are guarded by the response's interim.
-	expects, wanted bool
-	// finished is closed when the body was read to its end, stopped when it is not to
-	// be read any more.
+	// expectsContinue: the caller waits for 100 Continue before it sends the body.
+	// continueDeferred: 100 Continue is to be written just before the response header,
+	// since earlier responses were not out when it was requested. Both are guarded by
+	// the response's interimMu.
+	expectsContinue, continueDeferred bool
+	// finished is closed when the body has been read to its end, stopped when it must
+	// no longer be read.
 	finished, stopped chan struct{}
 
-	// begun: the first read was made. Only the reader uses it.
-	begun bool
+	// readStarted: the first read was made. Only the reading goroutine uses it.
+	readStarted bool
 
-	mu    sync.Mutex
-	ended bool
-	stop  sync.Once
+	mu       sync.Mutex
+	ended    bool
+	stopOnce sync.Once
 }
 
-func newStreamedBody(body io.ReadCloser, w *response, expects bool) *streamedBody {
-	return &streamedBody{ReadCloser: body, w: w, expects: expects, finished: make(chan struct{}), stopped: make(chan struct{})}
+func newStreamedBody(body io.ReadCloser, w *response, expectsContinue bool) *streamedBody {
+	return &streamedBody{ReadCloser: body, w: w, expectsContinue: expectsContinue, finished: make(chan struct{}), stopped: make(chan struct{})}
 }
 
-// Read reads the body, asking the caller for it first if it waits to be asked.
+// Read reads the body. If the caller expects 100 Continue, the first read sends it.
 func (b *streamedBody) Read(p []byte) (int, error) {
-	if !b.begun {
-		b.begun = true
-		if err := b.ask(); err != nil {
+	if !b.readStarted {
+		b.readStarted = true
+		if err := b.sendContinueInTurn(); err != nil {
 			return 0, err
 		}
 	}
@@ -44,72 +46,74 @@
 	switch {
 	case err == nil:
 	case errors.Is(err, io.EOF):
-		b.end()
+		b.markFinished()
 	case !b.isStopped():
 		b.w.c.cancel()
 	}
 	return n, err
 }
 
-// ask asks the caller for the body once all earlier answers are out. Where the
-// answer has begun it does not: the caller would read the question as a part of the
-// answer, or as the answer to its next request. The body may come unasked.
-func (b *streamedBody) ask() error {
-	if !b.waitsToBeAsked() {
+// sendContinueInTurn sends 100 Continue once all earlier responses on the connection
+// are out. It sends none after the response has begun: the caller would read it as part
+// of that response, or as the response to its next request. The caller may send the
+// body without it.
+func (b *streamedBody) sendContinueInTurn() error {
+	if !b.needsContinue() {
 		return nil
 	}
 	select {
-	case <-b.w.turn:
+	case <-b.w.prevDone:
 	case <-b.stopped:
 		return os.ErrDeadlineExceeded
 	case <-b.w.c.ctx.Done():
 		return b.w.c.ctx.Err()
 	}
-	b.w.interim.Lock()
-	defer b.w.interim.Unlock()
+	b.w.interimMu.Lock()
+	defer b.w.interimMu.Unlock()
 	if b.isStopped() {
 		return os.ErrDeadlineExceeded
 	}
-	return b.question()
+	return b.writeContinue()
 }
 
-func (b *streamedBody) waitsToBeAsked() bool {
-	b.w.interim.Lock()
-	defer b.w.interim.Unlock()
-	return b.expects
+func (b *streamedBody) needsContinue() bool {
+	b.w.interimMu.Lock()
+	defer b.w.interimMu.Unlock()
+	return b.expectsContinue
 }
 
-// askAhead has the caller asked before the answer's head, at the latest: a server
-// that answers as it reads waits for the body, and the caller to be asked for it.
-func (b *streamedBody) askAhead() {
-	b.w.interim.Lock()
-	defer b.w.interim.Unlock()
+// sendContinueAhead sends 100 Continue no later than the response header. Otherwise a
+// server that responds while it reads waits for the body, and the caller waits for 100
+// Continue.
+func (b *streamedBody) sendContinueAhead() {
+	b.w.interimMu.Lock()
+	defer b.w.interimMu.Unlock()
 	select {
-	case <-b.w.turn:
-		_ = b.question()
+	case <-b.w.prevDone:
+		_ = b.writeContinue()
 	default:
-		b.wanted = true
+		b.continueDeferred = true
 	}
 }
 
-// question asks the caller, unless it was asked or does not wait for it. The interim
-// lock is held.
-func (b *streamedBody) question() error {
-	if !b.expects || b.w.started {
+// writeContinue writes 100 Continue, unless it was sent or the caller does not expect
+// it. The caller must hold interimMu.
+func (b *streamedBody) writeContinue() error {
+	if !b.expectsContinue || b.w.started {
 		return nil
 	}
-	b.expects = false
-	return b.w.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"), askTimeout)
+	b.expectsContinue = false
+	return b.w.writeWithTimeout([]byte("HTTP/1.1 100 Continue\r\n\r\n"), continueTimeout)
 }
 
-// askTimeout bounds the writing of the question for a body. It is 25 bytes: a caller
-// that does not take them in a second reads none of its answers. Whoever stops the
-// body waits for it.
-const askTimeout = time.Second
+// continueTimeout bounds the write of 100 Continue. It is 25 bytes: a caller that does
+// not take them within a second is not reading its responses. Stopping the body waits
+// for this write.
+const continueTimeout = time.Second
 
-// end notes that the body was read to its end: the connection goes on to the next
-// request.
-func (b *streamedBody) end() {
+// markFinished records that the body was read to its end, so that the connection can
+// read the next request.
+func (b *streamedBody) markFinished() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.ended {
@@ -118,12 +122,12 @@
 	}
 }
 
-// setReadDeadline bounds reads of the body. Once it was read to its end the
-// connection belongs to the next request, and nothing is bounded. A time that has
-// passed stops the body: what waits to ask for it does not ask.
+// setReadDeadline sets the deadline for reads of the body. It has no effect after the
+// body was read to its end, since the connection then belongs to the next request. A
+// time in the past stops the body: a pending 100 Continue is not sent.
 func (b *streamedBody) setReadDeadline(t time.Time) error {
 	if !t.IsZero() && !t.After(time.Now()) {
-		b.stop.Do(func() { close(b.stopped) })
+		b.stopOnce.Do(func() { close(b.stopped) })
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -142,8 +146,8 @@
 	}
 }
 
-// left tells whether the body was not read to its end.
-func (b *streamedBody) left() bool {
+// unread reports whether the body was not read to its end.
+func (b *streamedBody) unread() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return !b.ended
@@ -152,5 +156,5 @@
 // Close leaves the rest of the body unread.
 func (b *streamedBody) Close() error { return nil }
 
-// bodyLeft tells whether the request's body was not read to its end.
-func (w *response) bodyLeft() bool { return w.body != nil && w.body.left() }
+// bodyUnread reports whether the request's body was not read to its end.
+func (w *response) bodyUnread() bool { return w.body != nil && w.body.unread() }
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -18,137 +18,139 @@
 	"cactuspath/internal/hop"
 )
 
-const readBuffer = 4 << 10
+const readBufferSize = 4 << 10
 
-// conn is one caller's connection. Its goroutine reads requests; each request
-// has a goroutine of its own; the answers take turns.
+// conn is one caller's connection. Its goroutine reads the requests; each request is
+// handled in a goroutine of its own; the responses are written in the order of the
+// requests.
 type conn struct {
-	server *Server
-	raw    net.Conn
-	ctx    context.Context
-	cancel context.CancelFunc
-	reader *bufio.Reader
-	budget *headBudget
-	// turns bounds the requests under way.
-	turns chan struct{}
-	// last is closed when the answer before the next request's is out.
-	last chan struct{}
+	server  *Server
+	raw     net.Conn
+	ctx     context.Context
+	cancel  context.CancelFunc
+	reader  *bufio.Reader
+	limiter *headerLimiter
+	// pipelineSlots bounds the number of requests in progress.
+	pipelineSlots chan struct{}
+	// prevDone is closed when the response before that of the next request is out.
+	prevDone chan struct{}
 
 	mu sync.Mutex
-	// pending counts requests read and not answered.
+	// pending counts requests that were read and not yet answered.
 	pending int
-	// closing: an answer told the caller that the connection ends, or it broke;
-	// requests behind that answer are not read.
-	closing bool
-	handler sync.WaitGroup
+	// closing: a response announced the close of the connection or was aborted, or the
+	// server shuts down; requests after that response are not read.
+	closing  bool
+	handlers sync.WaitGroup
 }
 
 func newConn(s *Server, raw net.Conn, ctx context.Context, cancel context.CancelFunc) *conn {
-	c := &conn{server: s, raw: raw, ctx: ctx, cancel: cancel, turns: make(chan struct{}, maxPipelined)}
-	c.budget = &headBudget{raw: raw}
-	c.reader = bufio.NewReaderSize(c.budget, readBuffer)
-	c.last = make(chan struct{})
-	close(c.last)
+	c := &conn{server: s, raw: raw, ctx: ctx, cancel: cancel, pipelineSlots: make(chan struct{}, maxPipelined)}
+	c.limiter = &headerLimiter{raw: raw}
+	c.reader = bufio.NewReaderSize(c.limiter, readBufferSize)
+	c.prevDone = make(chan struct{})
+	close(c.prevDone)
 	return c
 }
 
-// headBudget bounds how much is read for one request's head.
-type headBudget struct {
-	raw  net.Conn
-	left int64
-	on   bool
-	// failed is the last error of the connection itself; the parser above reports a
-	// head that ends within a line as malformed, whatever ended it.
-	failed error
+// headerLimiter bounds the number of bytes read for one request header.
+type headerLimiter struct {
+	raw       net.Conn
+	remaining int64
+	enabled   bool
+	// lastErr is the last error of the connection itself. The parser reports a header
+	// that ends within a line as malformed, whatever the cause.
+	lastErr error
 }
 
-var errHeadTooLarge = errors.New("the request's head is too large")
+var errHeaderTooLarge = errors.New("request header too large")
 
-// Read reads from the connection, within the budget if it is on.
-func (b *headBudget) Read(p []byte) (int, error) {
-	if !b.on {
-		return b.raw.Read(p)
+// Read reads from the connection, within the limit if it is enabled.
+func (l *headerLimiter) Read(p []byte) (int, error) {
+	if !l.enabled {
+		return l.raw.Read(p)
 	}
-	if b.left <= 0 {
-		b.failed = errHeadTooLarge
-		return 0, b.failed
+	if l.remaining <= 0 {
+		l.lastErr = errHeaderTooLarge
+		return 0, l.lastErr
 	}
-	if int64(len(p)) > b.left {
-		p = p[:b.left]
+	if int64(len(p)) > l.remaining {
+		p = p[:l.remaining]
 	}
-	n, err := b.raw.Read(p)
-	b.left -= int64(n)
-	b.failed = err
+	n, err := l.raw.Read(p)
+	l.remaining -= int64(n)
+	l.lastErr = err
 	return n, err
 }
 
-const h2Preface = "PRI "
+const h2PrefacePrefix = "PRI "
 
 func (c *conn) serve() {
-	handedOver := false
+	handedOff := false
 	defer func() {
-		// The caller is gone, or nothing more is to be read: what still runs for it
-		// ends when the caller hung up, and is answered when it only sent no more.
-		c.handler.Wait()
+		// The caller hung up, or no more requests are to be read. A caller that hung up
+		// has its running requests canceled; one that only closed its sending side gets
+		// their responses.
+		c.handlers.Wait()
 		c.cancel()
-		if !handedOver {
+		if !handedOff {
 			_ = c.raw.Close()
 		}
 	}()
-	if c.speaksH2() {
-		handedOver = c.server.h2conns.give(rewound{c.raw, c.reader})
+	if c.isHTTP2() {
+		handedOff = c.server.h2Listener.handOff(bufferedConn{c.raw, c.reader})
 		return
 	}
-	for c.next() {
+	for c.serveNext() {
 	}
 }
 
-// speaksH2 waits for the first bytes.
-func (c *conn) speaksH2() bool {
+// isHTTP2 waits for the first bytes and reports whether they begin an HTTP/2 preface.
+func (c *conn) isHTTP2() bool {
 	limits := c.server.limits.Load()
 	_ = c.raw.SetReadDeadline(time.Now().Add(limits.IdleTimeout))
 	first, err := c.reader.Peek(1)
-	if err != nil || first[0] != h2Preface[0] {
+	if err != nil || first[0] != h2PrefacePrefix[0] {
 		return false
 	}
-	start, err := c.reader.Peek(len(h2Preface))
+	start, err := c.reader.Peek(len(h2PrefacePrefix))
 	_ = c.raw.SetReadDeadline(time.Time{})
-	return err == nil && string(start) == h2Preface
+	return err == nil && string(start) == h2PrefacePrefix
 }
 
-// next reads one request and starts it; false means that none follows.
-func (c *conn) next() bool {
+// serveNext reads one request and starts it; it returns false if no request may follow.
+func (c *conn) serveNext() bool {
 	limits := c.server.limits.Load()
 	if !c.waitForRequest(limits) {
 		return false
 	}
 	_ = c.raw.SetReadDeadline(time.Now().Add(limits.HeaderTimeout))
-	c.budget.on, c.budget.failed, c.budget.left = true, nil, int64(limits.MaxHeaderBytes+readBuffer)
+	c.limiter.enabled, c.limiter.lastErr, c.limiter.remaining = true, nil, int64(limits.MaxHeaderBytes+readBufferSize)
 	r, err := http.ReadRequest(c.reader)
-	c.budget.on = false
+	c.limiter.enabled = false
 	_ = c.raw.SetReadDeadline(time.Time{})
 	if err != nil {
-		if c.budget.failed != nil {
-			err = c.budget.failed
+		if c.limiter.lastErr != nil {
+			err = c.limiter.lastErr
 		}
-		c.refuse(statusOf(err))
+		c.reject(readErrorStatus(err))
 		return false
 	}
-	if problem := unfit(r, limits); problem != 0 {
-		c.refuse(problem)
+	if status := validateRequest(r, limits); status != 0 {
+		c.reject(status)
 		return false
 	}
-	return c.begin(r)
+	return c.startRequest(r)
 }
 
-// waitForRequest waits for a request's first byte. Meanwhile requests may run;
-// a connection that ends under them means that their caller is gone.
+// waitForRequest waits for the first byte of a request. Earlier requests may still run;
+// if the connection ends meanwhile, their caller has hung up and they are canceled.
 func (c *conn) waitForRequest(limits *Limits) bool {
 	for {
-		if !c.awaits(limits) {
+		if !c.armIdleDeadline(limits) {
 			return false
 		}
-		// Blank lines between requests are allowed.
+		// Empty lines between requests are allowed.
 		b, err := c.reader.Peek(1)
 		switch {
 		case err == nil && (b[0] == '\r' || b[0] == '\n'):
@@ -156,7 +158,7 @@
 			continue
 		case err == nil:
 			return true
-		case isTimeout(err) && c.busy():
+		case isTimeout(err) && c.hasPending():
 			continue
 		case !isTimeout(err):
 			c.cancel()
@@ -165,10 +167,11 @@
 	}
 }
 
-// awaits tells whether another request may come, and gives it the idle time. Both
-// under the lock: a deadline set here after the one that ends the connection would
-// undo that one, and leave the reader waiting on a connection that has ended.
-func (c *conn) awaits(limits *Limits) bool {
+// armIdleDeadline reports whether another request may follow, and sets the idle
+// deadline. Both happen under the lock: a deadline set here after the one that ends the
+// connection would undo that one and leave the reader waiting on a connection that has
+// ended.
+func (c *conn) armIdleDeadline(limits *Limits) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closing && c.pending == 0 {
@@ -178,7 +181,7 @@
 	return true
 }
 
-func (c *conn) busy() bool {
+func (c *conn) hasPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pending > 0
@@ -189,11 +192,11 @@
 	return errors.As(err, &e) && e.Timeout()
 }
 
-// statusOf is the answer to a head that could not be read; 0 for none, since
-// the caller is gone.
-func statusOf(err error) int {
+// readErrorStatus returns the status for a request header that could not be read; 0
+// means no response, since the caller hung up.
+func readErrorStatus(err error) int {
 	switch {
-	case errors.Is(err, errHeadTooLarge):
+	case errors.Is(err, errHeaderTooLarge):
 		return http.StatusRequestHeaderFieldsTooLarge
 	case isTimeout(err):
 		return http.StatusRequestTimeout
@@ -207,8 +210,9 @@
 	return http.StatusBadRequest
 }
 
-// unfit checks what http.ReadRequest leaves to its caller.
-func unfit(r *http.Request, limits *Limits) int {
+// validateRequest checks what http.ReadRequest leaves to its caller. It returns the
+// status to reject the request with, or 0.
+func validateRequest(r *http.Request, limits *Limits) int {
 	switch {
 	case r.ProtoMajor != 1:
 		return http.StatusHTTPVersionNotSupported
@@ -216,7 +220,7 @@
 		return http.StatusBadRequest
 	case r.Method == http.MethodConnect:
 		return http.StatusNotImplemented
-	case !properNames(r.Header):
+	case !validFieldNames(r.Header):
 		return http.StatusBadRequest
 	case limits.MaxBodyBytes > 0 && r.ContentLength > limits.MaxBodyBytes:
 		return http.StatusRequestEntityTooLarge
@@ -224,13 +228,13 @@
 	return 0
 }
 
-// properNames tells whether all field names are tokens. A name with a space before
-// its colon is read as one field by some programs and as another by others, which
-// smuggles fields past the first of them.
-func properNames(h http.Header) bool {
+// validFieldNames reports whether all field names are tokens. Programs disagree on a
+// name with a space before its colon: such a field is one to some and another to others,
+// and can be smuggled past the first of them.
+func validFieldNames(h http.Header) bool {
 	for name := range h {
 		for i := range len(name) {
-			if !isToken(name[i]) {
+			if !isTokenChar(name[i]) {
 				return false
 			}
 		}
@@ -238,52 +242,52 @@
 	return true
 }
 
-func isToken(b byte) bool {
+func isTokenChar(b byte) bool {
 	return b >= '0' && b <= '9' || b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z' || strings.IndexByte("!#$%&'*+-.^_`|~", b) >= 0
 }
 
-// refuse answers a request that could not be read, behind all earlier answers,
-// and ends the connection.
-func (c *conn) refuse(status int) {
+// reject responds to a request that could not be read, after all earlier responses, and
+// closes the connection.
+func (c *conn) reject(status int) {
 	if status == 0 {
 		c.cancel()
 		return
 	}
 	select {
-	case <-c.last:
+	case <-c.prevDone:
 	case <-c.ctx.Done():
 		return
 	}
-	w := newResponse(c, &http.Request{ProtoMajor: 1, ProtoMinor: 1, Method: http.MethodGet, Header: http.Header{}}, c.last)
+	w := newResponse(c, &http.Request{ProtoMajor: 1, ProtoMinor: 1, Method: http.MethodGet, Header: http.Header{}}, c.prevDone)
 	w.mustClose = true
 	http.Error(w, http.StatusText(status), status)
 	w.finish()
 	c.lingerClose()
 }
 
-// lingerTime is how long what a caller still sends behind its last answer is read and
-// dropped: closing with unread bytes resets the connection, and what is still on its
-// way of the answer is lost.
-const lingerTime = 500 * time.Millisecond
+// lingerTimeout bounds how long data that a caller still sends after its last response
+// is read and discarded. Closing with unread bytes resets the connection, and the part
+// of the response that is still in transit is lost.
+const lingerTimeout = 500 * time.Millisecond
 
 func (c *conn) lingerClose() {
 	if tcp, ok := c.raw.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
 	}
-	_ = c.raw.SetReadDeadline(time.Now().Add(lingerTime))
+	_ = c.raw.SetReadDeadline(time.Now().Add(lingerTimeout))
 	_, _ = io.Copy(io.Discard, c.raw)
 }
 
-// begin starts a request; false means that nothing more may be read.
-func (c *conn) begin(r *http.Request) bool {
+// startRequest starts a request; it returns false if nothing more may be read.
+func (c *conn) startRequest(r *http.Request) bool {
 	select {
-	case c.turns <- struct{}{}:
+	case c.pipelineSlots <- struct{}{}:
 	case <-c.ctx.Done():
 		return false
 	}
 	c.mu.Lock()
 	if c.closing {
-		// Sent behind an answer that ended the connection: not read, not run.
+		// An earlier response closes the connection, so this request must not run.
 		c.mu.Unlock()
 		return false
 	}
@@ -292,59 +296,60 @@
 	ctx, cancel := context.WithCancel(c.ctx)
 	r = r.WithContext(ctx)
 	r.RemoteAddr = c.raw.RemoteAddr().String()
-	w := newResponse(c, r, c.last)
-	c.last = w.done
+	w := newResponse(c, r, c.prevDone)
+	c.prevDone = w.done
 	w.mustClose = wantsClose(r)
-	streamed, ok := c.takeBody(r, w)
+	bodyFinished, ok := c.prepareBody(r, w)
 	if !ok {
 		cancel()
-		c.ended()
+		c.finishRequest()
 		close(w.done)
-		<-c.turns
+		<-c.pipelineSlots
 		c.cancel()
 		return false
 	}
-	c.handler.Go(func() {
+	c.handlers.Go(func() {
 		defer cancel()
-		c.run(w, r)
-		<-c.turns
+		c.runHandler(w, r)
+		<-c.pipelineSlots
 	})
-	if streamed == nil {
-		return !w.mustClose || c.watchEnd()
+	if bodyFinished == nil {
+		return !w.mustClose || c.watchHangup()
 	}
-	// The body is read by the handler; the next request follows it.
+	// The handler reads the body; the next request comes after it.
 	select {
-	case <-streamed:
+	case <-bodyFinished:
 	case <-w.done:
 	}
-	if w.bodyLeft() {
-		// The answer is out and says that the connection ends; the caller may still send.
+	if w.bodyUnread() {
+		// The response announced that the connection closes; the caller may still be
+		// sending.
 		c.lingerClose()
 		return false
 	}
-	return !w.mustClose || c.watchEnd()
+	return !w.mustClose || c.watchHangup()
 }
 
-// watchEnd waits for the end of a connection on which no further request is
-// read, so that a caller that hangs up is noticed.
-func (c *conn) watchEnd() bool {
-	for c.busy() {
-		_ = c.raw.SetReadDeadline(time.Now().Add(watchInterval))
+// watchHangup waits for the end of a connection on which no further request is read, so
+// that a hang-up cancels the running requests.
+func (c *conn) watchHangup() bool {
+	for c.hasPending() {
+		_ = c.raw.SetReadDeadline(time.Now().Add(hangupPollInterval))
 		_, err := c.reader.Peek(1)
 		if err != nil && !isTimeout(err) {
 			c.cancel()
 			return false
 		}
 		if err == nil {
-			// Bytes behind the last request of the connection: nothing of them is read.
+			// Bytes after the last request of the connection are not read.
 			return false
 		}
 	}
 	return false
 }
 
-// watchInterval is how often the watch looks whether the answer is out.
-const watchInterval = 50 * time.Millisecond
+// hangupPollInterval is how often watchHangup checks whether the response is out.
+const hangupPollInterval = 50 * time.Millisecond
 
 func wantsClose(r *http.Request) bool {
 	if r.Close {
@@ -353,18 +358,18 @@
 	return r.ProtoMinor == 0 && !strings.EqualFold(r.Header.Get("Connection"), "keep-alive")
 }
 
-// takeBody reads a small body ahead. For a large one it returns a channel that
-// is closed when the handler has read it; ok is false if the body broke off.
-func (c *conn) takeBody(r *http.Request, w *response) (streamed chan struct{}, ok bool) {
+// prepareBody reads a small body into memory. For a large one it returns a channel that
+// is closed when the handler has read it; ok is false if the body was cut short.
+func (c *conn) prepareBody(r *http.Request, w *response) (bodyFinished chan struct{}, ok bool) {
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
 		return nil, true
 	}
-	if r.ContentLength > 0 && r.ContentLength <= smallBody && r.Header.Get("Expect") == "" {
-		held := make([]byte, r.ContentLength)
-		if _, err := io.ReadFull(r.Body, held); err != nil {
+	if r.ContentLength > 0 && r.ContentLength <= maxPrefetchedBody && r.Header.Get("Expect") == "" {
+		prefetched := make([]byte, r.ContentLength)
+		if _, err := io.ReadFull(r.Body, prefetched); err != nil {
 			return nil, false
 		}
-		r.Body = io.NopCloser(bytes.NewReader(held))
+		r.Body = io.NopCloser(bytes.NewReader(prefetched))
 		return nil, true
 	}
 	body := newStreamedBody(r.Body, w, hop.AsksFirst(r.Header))
@@ -373,7 +378,7 @@
 	return body.finished, true
 }
 
-func (c *conn) run(w *response, r *http.Request) {
+func (c *conn) runHandler(w *response, r *http.Request) {
 	defer func() {
 		if v := recover(); v != nil {
 			//nolint:errorlint // a panic's value, compared as net/http does
@@ -382,7 +387,7 @@
 			}
 			w.abort()
 		}
-		w.last = c.ended() || w.last
+		w.closeAfter = c.finishRequest() || w.closeAfter
 		close(w.done)
 		w.closeIfLast()
 	}()
@@ -390,11 +395,11 @@
 	w.finish()
 }
 
-// ended counts a request out and tells whether its connection ends. A shutdown
-// that looked between the answer and this took the connection for busy and left
-// it; without the second look here it would stay open until its idle time is
-// over, and hold the shutdown up.
-func (c *conn) ended() bool {
+// finishRequest decrements the pending count and reports whether the connection closes.
+// A Shutdown between the response and this call saw the connection as busy and left it
+// open. Without this second check the connection would stay open for the idle timeout
+// and delay the shutdown.
+func (c *conn) finishRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pending--
@@ -404,10 +409,10 @@
 	return c.closing
 }
 
-// lastWord tells whether the answer that is about to go out is the connection's
-// last, and if so sees to it that nothing more is read. An answer says so only
-// when no request behind it is under way: that one would be lost.
-func (c *conn) lastWord(mustClose bool) bool {
+// decideClose reports whether the response about to be sent is the connection's last,
+// and if so stops further reads. A response announces the close only when no request
+// behind it is in progress, since that request would be lost.
+func (c *conn) decideClose(mustClose bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closing || mustClose || c.server.draining.Load() && c.pending == 1 {
@@ -416,7 +421,7 @@
 	return c.closing
 }
 
-// closeIfIdle closes a connection that has no request.
+// closeIfIdle closes a connection that has no request in progress.
 func (c *conn) closeIfIdle() {
 	c.mu.Lock()
 	idle := c.pending == 0
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -15,7 +15,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// serve starts a server for the handler and ends it with the test.
+// serve starts a server for the handler and closes it when the test ends.
 func serve(t testing.TB, handler http.HandlerFunc) (*Server, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,8 +53,8 @@
 	assert.NilError(t, err)
 }
 
-// answer reads one answer with its body.
-func (c *client) answer(t testing.TB, method string) (*http.Response, string) {
+// readResponse reads one response with its body.
+func (c *client) readResponse(t testing.TB, method string) (*http.Response, string) {
 	t.Helper()
 	resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	assert.NilError(t, err)
@@ -65,10 +65,10 @@
 
 func get(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: a.example\r\n\r\n" }
 
-// A caller sends three requests at once. All three run side by side, so that the
-// whole takes as long as the slowest, and the answers come in the order of the
-// requests although the last one is ready first.
-func TestPipelinedRequestsRunSideBySideAndAreAnsweredInOrder(t *testing.T) {
+// Three requests are sent at once. They must run concurrently, so that the total takes
+// as long as the slowest, and the responses must come in request order although the
+// last one is ready first.
+func TestPipelinedRequestsRunConcurrentlyAndRespondInOrder(t *testing.T) {
 	running := make(chan string, 3)
 	release := map[string]chan struct{}{"/1": make(chan struct{}), "/2": make(chan struct{}), "/3": make(chan struct{})}
 	_, address := serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -82,21 +82,21 @@
 		select {
 		case <-running:
 		case <-time.After(5 * time.Second):
-			t.Fatal("the requests do not run side by side")
+			t.Fatal("the requests do not run concurrently")
 		}
 	}
 	for _, path := range []string{"/3", "/2", "/1"} {
 		close(release[path])
 	}
 	for _, path := range []string{"/1", "/2", "/3"} {
-		_, body := c.answer(t, "GET")
+		_, body := c.readResponse(t, "GET")
 		assert.Equal(t, body, path)
 	}
 }
 
-// A caller hangs up while its request runs, with another request sent behind it.
-// Both must end at once: the backend servers would go on working for nobody.
-func TestHangUpBehindPipelinedRequestsEndsThem(t *testing.T) {
+// A caller hangs up while its request runs and a second one is pipelined behind it.
+// Both must be canceled at once, or the backend servers do work that nobody receives.
+func TestHangUpCancelsPipelinedRequests(t *testing.T) {
 	ended := make(chan string, 2)
 	running := make(chan struct{}, 2)
 	_, address := serve(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -118,9 +118,9 @@
 	}
 }
 
-// While the server drains, an answer says that the connection ends only when no
-// request behind it is under way: that one would be lost.
-func TestDrainEndsAConnectionBehindTheLastRequestUnderWay(t *testing.T) {
+// While the server drains, a response announces the close of the connection only if no
+// request behind it is in progress, since that request would be lost.
+func TestDrainClosesConnectionAfterLastPendingRequest(t *testing.T) {
 	both := make(chan struct{}, 2)
 	release := make(chan struct{})
 	s, address := serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -134,18 +134,18 @@
 	<-both
 	s.Drain()
 	close(release)
-	first, _ := c.answer(t, "GET")
-	assert.Assert(t, !first.Close, "the first answer ended the connection under the second request")
-	second, body := c.answer(t, "GET")
+	first, _ := c.readResponse(t, "GET")
+	assert.Assert(t, !first.Close, "the first response closed the connection before the second request was answered")
+	second, body := c.readResponse(t, "GET")
 	assert.Equal(t, body, "/2")
 	assert.Assert(t, second.Close)
 	_, err := c.reader.ReadByte()
 	assert.Equal(t, err, io.EOF)
 }
 
-// A kept connection without a request is closed by Shutdown; one with a request
-// gets its answer first.
-func TestShutdownAnswersWhatRuns(t *testing.T) {
+// Shutdown closes an idle connection at once; one with a request in progress gets its
+// response first.
+func TestShutdownCompletesRunningRequests(t *testing.T) {
 	running, release := make(chan struct{}), make(chan struct{})
 	s, address := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
@@ -156,44 +156,44 @@
 	})
 	idle, busy := dial(t, address), dial(t, address)
 	idle.send(t, get("/quick"))
-	idle.answer(t, "GET")
+	idle.readResponse(t, "GET")
 	busy.send(t, get("/slow"))
 	<-running
-	over := make(chan error)
-	go func() { over <- s.Shutdown(context.Background()) }()
+	done := make(chan error)
+	go func() { done <- s.Shutdown(context.Background()) }()
 	_, err := idle.reader.ReadByte()
 	assert.Equal(t, err, io.EOF)
 	close(release)
-	_, body := busy.answer(t, "GET")
+	_, body := busy.readResponse(t, "GET")
 	assert.Equal(t, body, "done")
-	assert.NilError(t, <-over)
+	assert.NilError(t, <-done)
 }
 
-func TestBadRequestsGetAClearAnswerAndDoNotRun(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	long := strings.Repeat("x", 20<<10)
 	cases := []struct {
-		desc, text string
+		name, text string
 		want       int
 	}{
 		{"no request line", "nonsense\r\n\r\n", 400},
 		{"no host", "GET / HTTP/1.1\r\n\r\n", 400},
-		{"a head over the limit", "GET / HTTP/1.1\r\nHost: a\r\nX: " + long + "\r\n\r\n", 431},
+		{"a header over the limit", "GET / HTTP/1.1\r\nHost: a\r\nX: " + long + "\r\n\r\n", 431},
 		{"two lengths", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", 400},
 		{"a negative length", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: -1\r\n\r\n", 400},
 		{"an unknown encoding", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked, gzip\r\n\r\n", 400},
 		{"an obsolete version", "GET / HTTP/0.9\r\nHost: a\r\n\r\n", 505},
 		{"a body over the limit", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2000000\r\n\r\n", 413},
-		{"a tunnel", "CONNECT a:1 HTTP/1.1\r\nHost: a\r\n\r\n", 501},
+		{"a CONNECT request", "CONNECT a:1 HTTP/1.1\r\nHost: a\r\n\r\n", 501},
 		{"a space in a field's name", "GET / HTTP/1.1\r\nHost: a\r\nX : y\r\n\r\n", 400},
 	}
 	for _, c := range cases {
-		t.Run(c.desc, func(t *testing.T) {
+		t.Run(c.name, func(t *testing.T) {
 			var ran atomic.Bool
 			s, address := serve(t, func(http.ResponseWriter, *http.Request) { ran.Store(true) })
 			s.SetLimits(Limits{MaxHeaderBytes: 8 << 10, MaxBodyBytes: 1 << 20})
 			conn := dial(t, address)
 			conn.send(t, c.text)
-			resp, _ := conn.answer(t, "GET")
+			resp, _ := conn.readResponse(t, "GET")
 			assert.Equal(t, resp.StatusCode, c.want)
 			assert.Assert(t, resp.Close)
 			assert.Assert(t, !ran.Load())
@@ -201,10 +201,10 @@
 	}
 }
 
-// A request with both a length and chunks could be read in two ways by two
-// programs, which smuggles a second request. It is read by its chunks here, and
-// what follows is never taken for a request of its own.
-func TestLengthBesideChunksSmugglesNothing(t *testing.T) {
+// A request with both Content-Length and chunked encoding can be parsed in two ways by
+// two programs, which allows request smuggling. The body is read by its chunks, and
+// what follows is never treated as a request.
+func TestContentLengthWithChunkedEncodingDoesNotSmuggle(t *testing.T) {
 	paths := make(chan string, 4)
 	_, address := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -212,50 +212,50 @@
 	})
 	c := dial(t, address)
 	c.send(t, "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n"+get("/b"))
-	c.answer(t, "POST")
+	c.readResponse(t, "POST")
 	assert.Equal(t, <-paths, "/a hello")
 }
 
-// A caller that begins a request and does not go on gets 408 after the limit: the
-// request was not read, so that it has not run.
-func TestSlowHeadIsRefused(t *testing.T) {
+// A caller that sends part of a header and stops gets 408 after the timeout. The
+// request was not read, so it has not run.
+func TestSlowHeaderTimesOut(t *testing.T) {
 	s, address := serve(t, func(http.ResponseWriter, *http.Request) { t.Error("ran") })
 	s.SetLimits(Limits{HeaderTimeout: 50 * time.Millisecond})
 	c := dial(t, address)
 	c.send(t, "GET / HTTP/1.1\r\nHost")
-	resp, _ := c.answer(t, "GET")
+	resp, _ := c.readResponse(t, "GET")
 	assert.Equal(t, resp.StatusCode, http.StatusRequestTimeout)
 }
 
-func TestIdleConnectionIsClosedAfterTheLimit(t *testing.T) {
+func TestIdleConnectionIsClosedAfterTimeout(t *testing.T) {
 	s, address := serve(t, func(http.ResponseWriter, *http.Request) {})
 	s.SetLimits(Limits{IdleTimeout: 50 * time.Millisecond})
 	c := dial(t, address)
 	c.send(t, get("/"))
-	c.answer(t, "GET")
+	c.readResponse(t, "GET")
 	_, err := c.reader.ReadByte()
 	assert.Equal(t, err, io.EOF)
 }
 
-// The handler answers before it read a long body. The rest of the body must not
-// be taken for the next request: the connection ends with the answer.
-func TestEarlyAnswerToALongBodyEndsTheConnection(t *testing.T) {
+// The handler responds before it has read a long body. The connection must close, or
+// the rest of the body would be parsed as the next request.
+func TestEarlyResponseToLongBodyClosesConnection(t *testing.T) {
 	_, address := serve(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusForbidden) })
 	c := dial(t, address)
 	c.send(t, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100000\r\n\r\nGET /smuggled HTTP/1.1\r\nHost: a\r\n\r\n")
-	resp, _ := c.answer(t, "POST")
+	resp, _ := c.readResponse(t, "POST")
 	assert.Equal(t, resp.StatusCode, http.StatusForbidden)
 	assert.Assert(t, resp.Close)
 }
 
-// An answer that breaks off must not look complete, whatever frames it.
-func TestAbortedAnswerIsBroken(t *testing.T) {
+// An aborted response must not look complete, whichever framing it uses.
+func TestAbortedResponseIsIncomplete(t *testing.T) {
 	for _, length := range []string{"", "100000"} {
 		_, address := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 			if length != "" {
 				w.Header().Set("Content-Length", length)
 			}
-			_, _ = w.Write(make([]byte, heldAnswer+1))
+			_, _ = w.Write(make([]byte, maxBufferedResponse+1))
 			panic(http.ErrAbortHandler)
 		})
 		c := dial(t, address)
@@ -263,12 +263,12 @@
 		resp, err := http.ReadResponse(c.reader, nil)
 		assert.NilError(t, err)
 		_, err = io.ReadAll(resp.Body)
-		assert.Assert(t, err != nil, "the answer looks complete")
+		assert.Assert(t, err != nil, "the response looks complete")
 	}
 }
 
-// An answer of which nothing was sent yet can be dropped and replaced.
-func TestResetReplacesAnAnswerThatIsHeld(t *testing.T) {
+// A response of which nothing was sent yet can be discarded and replaced.
+func TestResetReplacesBufferedResponse(t *testing.T) {
 	_, address := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, "half of an ans")
 		if !w.(*response).Reset() {
@@ -279,13 +279,13 @@
 	})
 	c := dial(t, address)
 	c.send(t, get("/"))
-	resp, body := c.answer(t, "GET")
+	resp, body := c.readResponse(t, "GET")
 	assert.Equal(t, resp.StatusCode, http.StatusBadGateway)
 	assert.Equal(t, body, "broken")
 }
 
-func TestFramingOfAnswers(t *testing.T) {
-	big := strings.Repeat("b", heldAnswer+10)
+func TestResponseFraming(t *testing.T) {
+	big := strings.Repeat("b", maxBufferedResponse+10)
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/trailer":
@@ -305,16 +305,16 @@
 	_, address := serve(t, handler)
 	c := dial(t, address)
 	c.send(t, get("/trailer")+get("/big")+get("/none")+"HEAD /big HTTP/1.1\r\nHost: a\r\n\r\n"+get("/field"))
-	resp, body := c.answer(t, "GET")
+	resp, body := c.readResponse(t, "GET")
 	assert.Equal(t, body, "body")
 	assert.Equal(t, resp.Trailer.Get("X-Sum"), "7")
-	_, body = c.answer(t, "GET")
+	_, body = c.readResponse(t, "GET")
 	assert.Equal(t, len(body), len(big))
-	resp, _ = c.answer(t, "GET")
+	resp, _ = c.readResponse(t, "GET")
 	assert.Equal(t, resp.StatusCode, http.StatusNoContent)
-	_, body = c.answer(t, "HEAD")
+	_, body = c.readResponse(t, "HEAD")
 	assert.Equal(t, body, "")
-	resp, _ = c.answer(t, "GET")
+	resp, _ = c.readResponse(t, "GET")
 	assert.Equal(t, resp.Header.Get("X-More"), "")
 
 	c.send(t, "POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n")
@@ -324,17 +324,17 @@
 	_, err = c.reader.ReadString('\n')
 	assert.NilError(t, err)
 	c.send(t, "hello")
-	_, body = c.answer(t, "POST")
+	_, body = c.readResponse(t, "POST")
 	assert.Equal(t, body, "hello")
 
-	old := dial(t, address)
-	old.send(t, "GET /big HTTP/1.0\r\n\r\n")
-	resp, body = old.answer(t, "GET")
+	http10 := dial(t, address)
+	http10.send(t, "GET /big HTTP/1.0\r\n\r\n")
+	resp, body = http10.readResponse(t, "GET")
 	assert.Assert(t, resp.Close)
 	assert.Equal(t, len(body), len(big))
 }
 
-func TestHTTP2IsHandedOver(t *testing.T) {
+func TestHTTP2IsHandedOff(t *testing.T) {
 	_, address := serve(t, func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, r.Proto) })
 	transport := &http.Transport{Protocols: new(http.Protocols)}
 	transport.Protocols.SetUnencryptedHTTP2(true)
@@ -347,8 +347,8 @@
 	assert.Equal(t, string(body), "HTTP/2.0")
 }
 
-// FuzzConnection sends arbitrary bytes. Whatever they are, the server must not
-// crash or hang, and every request that runs must have been read whole.
+// FuzzConnection sends arbitrary bytes. The server must neither crash nor hang, and
+// every request that runs must have been read completely.
 func FuzzConnection(f *testing.F) {
 	for _, seed := range []string{
 		get("/"), get("/1") + get("/2"), "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc" + get("/"),
@@ -367,9 +367,9 @@
 		}))
 		s.SetLimits(Limits{HeaderTimeout: 50 * time.Millisecond, IdleTimeout: 50 * time.Millisecond})
 		defer s.Close()
-		go func() { _ = s.h2.Serve(s.h2conns) }()
+		go func() { _ = s.h2.Serve(s.h2Listener) }()
 		near, far := net.Pipe()
-		s.start(far)
+		s.startConn(far)
 		_ = near.SetDeadline(time.Now().Add(2 * time.Second))
 		go func() {
 			_, _ = near.Write(data)
@@ -377,30 +377,30 @@
 			_ = near.Close()
 		}()
 		_, _ = io.Copy(io.Discard, near)
-		over := make(chan struct{})
+		done := make(chan struct{})
 		go func() {
-			s.wait.Wait()
-			close(over)
+			s.connGroup.Wait()
+			close(done)
 		}()
 		select {
-		case <-over:
+		case <-done:
 		case <-time.After(5 * time.Second):
 			t.Fatal("the connection is still served after its caller hung up")
 		}
 	})
 }
 
-// The caller's connection stays open and holds a planned stop up. Its answer went
-// out, a shutdown took the connection for busy, and only then was the request
-// counted out: nobody looked at the connection again.
-func TestShutdownBehindAnAnswerEndsItsConnection(t *testing.T) {
+// Guards against a connection that stays open and delays a planned stop. Shutdown runs
+// after the response was sent and before the pending count drops, and takes the
+// connection for busy; nothing checked the connection again.
+func TestShutdownDuringResponseClosesConnection(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	s := New(http.NotFoundHandler())
 	c := newConn(s, near, t.Context(), func() {})
 	s.conns[c], c.pending = true, 1
-	assert.Assert(t, !c.lastWord(false), "the answer goes out before the shutdown")
+	assert.Assert(t, !c.decideClose(false), "the response precedes the shutdown")
 	assert.NilError(t, s.Shutdown(t.Context()))
-	assert.Assert(t, c.ended())
-	assert.Assert(t, !c.awaits(s.limits.Load()))
+	assert.Assert(t, c.finishRequest())
+	assert.Assert(t, !c.armIdleDeadline(s.limits.Load()))
 }
--- a/internal/front/response.go
+++ b/internal/front/response.go
@@ -11,49 +11,50 @@
 	"time"
 )
 
-// heldAnswer is how much of an answer is held while earlier ones are not out,
-// or while its end is near. An answer that breaks off within it can still be
-// replaced by one that says so.
-const heldAnswer = 64 << 10
+// maxBufferedResponse bounds how much of a response is buffered while earlier responses
+// are not out, or until the response is complete. A response that fails within it can
+// still be replaced by an error response.
+const maxBufferedResponse = 64 << 10
 
 // writeTimeout bounds one write to a caller that does not read.
 const writeTimeout = 30 * time.Second
 
-// response is the answer to one request.
+// response is the response to one request.
 type response struct {
 	c       *conn
 	request *http.Request
 	header  http.Header
 	status  int
-	// turn is closed when all earlier answers are out, done when this one is.
-	turn, done chan struct{}
-	held       bytes.Buffer
-	chunked    bool
-	mustClose  bool
-	last       bool
-	// interim lets one goroutine write at a time until the head is out: the one that
-	// reads the body may ask for it while the handler answers. It guards started.
-	interim sync.Mutex
-	started bool
-	broken  atomic.Bool
-	// length is what Content-Length announced, or -1.
+	// prevDone is closed when all earlier responses are out, done when this one is.
+	prevDone, done chan struct{}
+	buffered       bytes.Buffer
+	chunked        bool
+	mustClose      bool
+	closeAfter     bool
+	// interimMu serializes writes until the response header is sent: the goroutine that
+	// reads the body may send 100 Continue while the handler responds. It guards
+	// started.
+	interimMu sync.Mutex
+	started   bool
+	broken    atomic.Bool
+	// length is the announced Content-Length, or -1.
 	length, written int64
 	body            *streamedBody
 }
 
-func newResponse(c *conn, r *http.Request, turn chan struct{}) *response {
-	return &response{c: c, request: r, header: http.Header{}, turn: turn, done: make(chan struct{}), length: -1}
+func newResponse(c *conn, r *http.Request, prevDone chan struct{}) *response {
+	return &response{c: c, request: r, header: http.Header{}, prevDone: prevDone, done: make(chan struct{}), length: -1}
 }
 
-// Header is the answer's header, until it is sent.
+// Header returns the response header. Once it is sent, only trailers can be added.
 func (w *response) Header() http.Header { return w.header }
 
-// WriteHeader sets the status; the head goes out with the first bytes that do
-// not fit what is held, or at the end. Continue has the caller asked for the request's
-// body, if it waits for that; no other interim answer is passed on.
+// WriteHeader sets the status. The header is sent with the first bytes that exceed the
+// buffer, or at the end. Status 100 sends 100 Continue to a caller that expects it;
+// other interim responses are not passed on.
 func (w *response) WriteHeader(status int) {
 	if status == http.StatusContinue && w.body != nil {
-		w.body.askAhead()
+		w.body.sendContinueAhead()
 	}
 	if w.status != 0 || status < http.StatusOK {
 		return
@@ -64,7 +65,7 @@
 	}
 }
 
-// Write takes a part of the body.
+// Write writes a part of the body.
 func (w *response) Write(p []byte) (int, error) {
 	w.WriteHeader(http.StatusOK)
 	if !w.hasBody() {
@@ -72,17 +73,17 @@
 	}
 	w.written += int64(len(p))
 	if !w.started {
-		if w.held.Len()+len(p) <= heldAnswer {
-			return w.held.Write(p)
+		if w.buffered.Len()+len(p) <= maxBufferedResponse {
+			return w.buffered.Write(p)
 		}
-		if err := w.start(false); err != nil {
+		if err := w.sendHeader(false); err != nil {
 			return 0, err
 		}
 	}
-	return len(p), w.send(p)
+	return len(p), w.writeBody(p)
 }
 
-// Flush sends what is held, once it is this answer's turn.
+// Flush sends the buffered part, if all earlier responses are out.
 func (w *response) Flush() {
 	if w.broken.Load() {
 		return
@@ -90,28 +91,28 @@
 	w.WriteHeader(http.StatusOK)
 	if !w.started {
 		select {
-		case <-w.turn:
-			_ = w.start(false)
+		case <-w.prevDone:
+			_ = w.sendHeader(false)
 		default:
 		}
 	}
 }
 
-// Reset drops an answer of which nothing was sent; it reports whether it could.
+// Reset discards a response of which nothing was sent; it reports whether it could.
 func (w *response) Reset() bool {
 	if w.started {
 		return false
 	}
-	w.held.Reset()
+	w.buffered.Reset()
 	w.header, w.status, w.length, w.written = http.Header{}, 0, -1, 0
 	return true
 }
 
-// EnableFullDuplex is always on.
+// EnableFullDuplex does nothing: full duplex is always enabled.
 func (w *response) EnableFullDuplex() error { return nil }
 
-// SetReadDeadline bounds reads of the request's body, also one that waits. It is
-// meant for http.ResponseController.
+// SetReadDeadline sets the deadline for reads of the request's body, including a
+// blocked one. It is called through http.ResponseController.
 func (w *response) SetReadDeadline(t time.Time) error {
 	if w.body == nil {
 		return nil
@@ -123,51 +124,51 @@
 	return w.request.Method != http.MethodHead && w.status != http.StatusNoContent && w.status != http.StatusNotModified
 }
 
-// start waits for the turn and sends the head. Whole means that the body is held
-// in full, so that its length is known.
-func (w *response) start(whole bool) error {
+// sendHeader waits until all earlier responses are out and sends the header. Complete
+// means that the whole body is buffered, so that its length is known.
+func (w *response) sendHeader(complete bool) error {
 	select {
-	case <-w.turn:
+	case <-w.prevDone:
 	case <-w.c.ctx.Done():
 		w.broken.Store(true)
 		return w.c.ctx.Err()
 	}
-	w.interim.Lock()
-	if w.body != nil && w.body.wanted && !w.body.isStopped() {
-		_ = w.body.question()
+	w.interimMu.Lock()
+	if w.body != nil && w.body.continueDeferred && !w.body.isStopped() {
+		_ = w.body.writeContinue()
 	}
 	w.started = true
-	w.interim.Unlock()
-	if whole && w.length < 0 && w.hasBody() && !w.hasTrailers() {
-		w.length = int64(w.held.Len())
+	w.interimMu.Unlock()
+	if complete && w.length < 0 && w.hasBody() && !w.hasTrailers() {
+		w.length = int64(w.buffered.Len())
 	}
-	w.last = w.c.lastWord(w.mustClose || w.bodyLeft())
+	w.closeAfter = w.c.decideClose(w.mustClose || w.bodyUnread())
 	var head bytes.Buffer
-	w.writeHead(&head)
-	body := w.held.Bytes()
-	if err := w.raw(head.Bytes()); err != nil {
+	w.formatHeader(&head)
+	body := w.buffered.Bytes()
+	if err := w.writeConn(head.Bytes()); err != nil {
 		return err
 	}
 	if len(body) == 0 {
 		return nil
 	}
-	return w.send(body)
+	return w.writeBody(body)
 }
 
-func (w *response) writeHead(out *bytes.Buffer) {
+func (w *response) formatHeader(out *bytes.Buffer) {
 	out.WriteString("HTTP/1.1 ")
 	out.WriteString(strconv.Itoa(w.status))
 	out.WriteByte(' ')
 	out.WriteString(http.StatusText(w.status))
 	out.WriteString("\r\n")
 	for name, values := range w.header {
-		if framing(name) || strings.HasPrefix(name, http.TrailerPrefix) {
+		if isFramingField(name) || strings.HasPrefix(name, http.TrailerPrefix) {
 			continue
 		}
 		for _, v := range values {
 			out.WriteString(name)
 			out.WriteString(": ")
-			out.WriteString(cleanValue(v))
+			out.WriteString(sanitizeFieldValue(v))
 			out.WriteString("\r\n")
 		}
 	}
@@ -176,12 +177,12 @@
 		out.WriteString("Content-Length: " + strconv.FormatInt(w.length, 10) + "\r\n")
 	case !w.hasBody():
 	case w.request.ProtoMinor == 0:
-		w.last = w.c.lastWord(true)
+		w.closeAfter = w.c.decideClose(true)
 	default:
 		w.chunked = true
 		out.WriteString("Transfer-Encoding: chunked\r\n")
 	}
-	if w.last {
+	if w.closeAfter {
 		out.WriteString("Connection: close\r\n")
 	} else if w.request.ProtoMinor == 0 {
 		out.WriteString("Connection: keep-alive\r\n")
@@ -189,8 +190,8 @@
 	out.WriteString("\r\n")
 }
 
-// framing fields are this server's own.
-func framing(name string) bool {
+// isFramingField reports whether a field is set by this server only.
+func isFramingField(name string) bool {
 	switch name {
 	case "Content-Length", "Transfer-Encoding", "Connection", "Keep-Alive":
 		return true
@@ -198,18 +199,18 @@
 	return false
 }
 
-// cleanValue keeps a value from ending its line: what follows would pass for
-// another field or another answer.
-func cleanValue(v string) string {
+// sanitizeFieldValue removes line breaks from a value: what follows one could pass for
+// another field or another response.
+func sanitizeFieldValue(v string) string {
 	if !strings.ContainsAny(v, "\r\n") {
 		return v
 	}
 	return strings.NewReplacer("\r", " ", "\n", " ").Replace(v)
 }
 
-func (w *response) send(p []byte) error {
+func (w *response) writeBody(p []byte) error {
 	if !w.chunked {
-		return w.raw(p)
+		return w.writeConn(p)
 	}
 	if len(p) == 0 {
 		return nil
@@ -219,14 +220,14 @@
 	chunk = append(chunk, "\r\n"...)
 	chunk = append(chunk, p...)
 	chunk = append(chunk, "\r\n"...)
-	return w.raw(chunk)
+	return w.writeConn(chunk)
 }
 
-func (w *response) raw(p []byte) error {
-	return w.write(p, writeTimeout)
+func (w *response) writeConn(p []byte) error {
+	return w.writeWithTimeout(p, writeTimeout)
 }
 
-func (w *response) write(p []byte, timeout time.Duration) error {
+func (w *response) writeWithTimeout(p []byte, timeout time.Duration) error {
 	if w.broken.Load() {
 		return net.ErrClosed
 	}
@@ -251,23 +252,24 @@
 	return false
 }
 
-// finish sends what is left and ends the answer.
+// finish sends the rest of the response and completes it.
 func (w *response) finish() {
 	if w.broken.Load() {
 		return
 	}
 	if w.status == 0 && w.c.ctx.Err() != nil {
-		// The handler gave up because the caller is gone. The implied 200 would be a false
-		// success for a caller that closed only its sending side.
+		// The handler gave up because the caller hung up. The implied 200 would be a
+		// false success for a caller that closed only its sending side.
 		w.broken.Store(true)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
-	if !w.started && w.start(true) != nil {
+	if !w.started && w.sendHeader(true) != nil {
 		return
 	}
 	if w.hasBody() && w.length >= 0 && w.written != w.length {
-		// Shorter or longer than announced: the caller must see a broken answer.
+		// The body is shorter or longer than announced: the caller must see a broken
+		// response.
 		w.abort()
 		return
 	}
@@ -277,17 +279,16 @@
 		for name, values := range w.header {
 			if trailer, ok := strings.CutPrefix(name, http.TrailerPrefix); ok {
 				for _, v := range values {
-					tail.WriteString(trailer + ": " + cleanValue(v) + "\r\n")
+					tail.WriteString(trailer + ": " + sanitizeFieldValue(v) + "\r\n")
 				}
 			}
 		}
 		tail.WriteString("\r\n")
-		_ = w.raw(tail.Bytes())
+		_ = w.writeConn(tail.Bytes())
 	}
 }
 
-// abort breaks the connection off, so that an answer which is not whole does not
-// look complete.
+// abort resets the connection, so that an incomplete response does not look complete.
 func (w *response) abort() {
 	w.broken.Store(true)
 	w.c.mu.Lock()
@@ -295,21 +296,22 @@
 	w.c.mu.Unlock()
 	w.c.cancel()
 	if tcp, ok := w.c.raw.(*net.TCPConn); ok {
-		// A reset, not an end: an answer without a length would end with either.
+		// Reset instead of an orderly close: a response without a length would look
+		// complete after the latter.
 		_ = tcp.SetLinger(0)
 	}
 	_ = w.c.raw.Close()
 }
 
-// closeIfLast ends the connection after its last answer.
+// closeIfLast closes the connection after its last response.
 func (w *response) closeIfLast() {
-	if !w.last || w.broken.Load() {
+	if !w.closeAfter || w.broken.Load() {
 		return
 	}
 	if tcp, ok := w.c.raw.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
 	}
-	// The reader, which may wait for another request, is given a moment: closing
-	// with bytes unread would reset the connection under the answer.
-	_ = w.c.raw.SetReadDeadline(time.Now().Add(lingerTime))
+	// The reader may still wait for another request; it gets some time, because closing
+	// with unread bytes would reset the connection and lose the response.
+	_ = w.c.raw.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -1,10 +1,10 @@
-// Package front serves callers over HTTP/1.1. The requests of one connection
-// are read as they come and run side by side; their answers go out in the order
-// of the requests. net/http's server reads the next request only once the last
-// one is answered, so that a caller that pipelines waits for the sum of its
-// requests, and one that hangs up behind a second request goes unnoticed.
+// Package front serves callers over HTTP/1.1 with concurrent pipelining. The requests
+// of one connection are read as they arrive and run concurrently; their responses are
+// sent in request order. The server of net/http reads the next request only after the
+// response to the last one, so that a caller that pipelines waits for the sum of its
+// requests, and a hang-up behind a second request goes unnoticed.
 //
-// Bytes that begin HTTP/2 go to net/http's server, which speaks it.
+// Connections that begin with an HTTP/2 preface are passed to a net/http server.
 package front
 
 import (
@@ -18,16 +18,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Limits bound what a caller may send, and how long it may be silent. A value
-// of 0 stands for the default.
+// Limits bound what a caller may send and how long it may be silent. A value of 0
+// selects the default.
 type Limits struct {
-	// MaxHeaderBytes bounds a request's head.
+	// MaxHeaderBytes bounds the size of a request header.
 	MaxHeaderBytes int
-	// MaxBodyBytes bounds its body; 0 means no bound.
+	// MaxBodyBytes bounds the size of a request body; 0 means no limit.
 	MaxBodyBytes int64
-	// HeaderTimeout is the time for a request's head from its first byte on.
+	// HeaderTimeout bounds the time from the first byte of a request header to its
+	// last.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a connection without requests is kept.
+	// IdleTimeout is how long a connection without requests stays open.
 	IdleTimeout time.Duration
 }
 
@@ -39,33 +40,33 @@
 )
 
 const (
-	// maxPipelined bounds the requests of one connection that run side by side, so
-	// that one connection cannot take all of a node's memory.
+	// maxPipelined bounds the concurrent requests of one connection, so that a single
+	// connection cannot use up a node's memory.
 	maxPipelined = 16
-	// smallBody is up to which size a body is read ahead of its request, so that
-	// the connection can go on to the next one.
-	smallBody = 64 << 10
+	// maxPrefetchedBody is the largest body that is read into memory before its request
+	// starts, so that the connection can read the next request.
+	maxPrefetchedBody = 64 << 10
 )
 
 // Server serves callers. Its methods are safe for concurrent use.
 type Server struct {
-	handler http.Handler
-	limits  atomic.Pointer[Limits]
-	h2      *http.Server
-	h2conns *handover
+	handler    http.Handler
+	limits     atomic.Pointer[Limits]
+	h2         *http.Server
+	h2Listener *handoffListener
 
 	draining atomic.Bool
-	// closed is set under mu, so that no connection starts unseen behind it.
-	closed   atomic.Bool
-	mu       sync.Mutex
-	listener net.Listener
-	conns    map[*conn]bool
-	wait     sync.WaitGroup
+	// closed is set under mu, so that no connection starts after it unnoticed.
+	closed    atomic.Bool
+	mu        sync.Mutex
+	listener  net.Listener
+	conns     map[*conn]bool
+	connGroup sync.WaitGroup
 }
 
 // New returns a server for the handler.
 func New(handler http.Handler) *Server {
-	s := &Server{handler: handler, conns: map[*conn]bool{}, h2conns: newHandover()}
+	s := &Server{handler: handler, conns: map[*conn]bool{}, h2Listener: newHandoffListener()}
 	s.SetLimits(Limits{})
 	s.h2 = &http.Server{Handler: handler, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout, MaxHeaderBytes: defaultHeaderBytes}
 	s.h2.Protocols = new(http.Protocols)
@@ -73,7 +74,7 @@
 	return s
 }
 
-// SetLimits changes the limits for requests that come from now on.
+// SetLimits changes the limits for subsequent requests.
 func (s *Server) SetLimits(l Limits) {
 	if l.MaxHeaderBytes == 0 {
 		l.MaxHeaderBytes = defaultHeaderBytes
@@ -92,35 +93,36 @@
 	s.mu.Lock()
 	s.listener = l
 	s.mu.Unlock()
-	s.h2conns.address = l.Addr()
-	go func() { _ = s.h2.Serve(s.h2conns) }()
+	s.h2Listener.address = l.Addr()
+	go func() { _ = s.h2.Serve(s.h2Listener) }()
 	for {
 		raw, err := l.Accept()
 		if err != nil {
 			if s.closed.Load() {
 				return http.ErrServerClosed
 			}
-			if temporary(err) {
-				// Out of descriptors: those that wait are served once others end.
-				time.Sleep(acceptPause)
+			if isTemporary(err) {
+				// Out of file descriptors: pending connections are accepted once others
+				// close.
+				time.Sleep(acceptRetryDelay)
 				continue
 			}
 			return err
 		}
-		s.start(raw)
+		s.startConn(raw)
 	}
 }
 
-// acceptPause is the wait after a failed accept: long enough for some of the
-// open connections to end.
-const acceptPause = 5 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept, which gives some of the open
+// connections time to close.
+const acceptRetryDelay = 5 * time.Millisecond
 
-func temporary(err error) bool {
+func isTemporary(err error) bool {
 	var e net.Error
 	return errors.As(err, &e) && e.Timeout() || errors.Is(err, errTooManyFiles)
 }
 
-func (s *Server) start(raw net.Conn) {
+func (s *Server) startConn(raw net.Conn) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := newConn(s, raw, ctx, cancel)
 	s.mu.Lock()
@@ -131,10 +133,10 @@
 		return
 	}
 	s.conns[c] = true
-	s.wait.Add(1)
+	s.connGroup.Add(1)
 	s.mu.Unlock()
 	go func() {
-		defer s.wait.Done()
+		defer s.connGroup.Done()
 		c.serve()
 		s.mu.Lock()
 		delete(s.conns, c)
@@ -142,12 +144,12 @@
 	}()
 }
 
-// Drain has every answer from now on close its connection. Connections stay
-// open, and requests on them are served, until Shutdown.
+// Drain makes every further response close its connection. Connections stay open, and
+// requests on them are served, until Shutdown.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Shutdown closes the listener and connections without requests, and waits for
-// the others until ctx ends; then it cuts them and returns the context's error.
+// Shutdown closes the listener and idle connections, and waits for the others until ctx
+// ends; it then returns the context's error.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.Drain()
 	s.mu.Lock()
@@ -162,7 +164,7 @@
 	h2err := s.h2.Shutdown(ctx)
 	done := make(chan struct{})
 	go func() {
-		s.wait.Wait()
+		s.connGroup.Wait()
 		close(done)
 	}()
 	select {
@@ -173,7 +175,7 @@
 	}
 }
 
-// Close cuts every connection.
+// Close closes the listener and all connections.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	s.closed.Store(true)
