--- a/internal/endpoint/backend.go
+++ b/internal/endpoint/backend.go
@@ -13,74 +13,76 @@
 	"cactuspath/internal/hop"
 )
 
-// SetBackend names the backend server's address.
+// SetBackend sets the backend server's address.
 func (e *Endpoint) SetBackend(address string) {
-	for _, p := range []*atomic.Pointer[hop.Pool]{&e.backend, &e.questions} {
+	for _, p := range []*atomic.Pointer[hop.Pool]{&e.backend, &e.healthPool} {
 		if old := p.Swap(hop.NewPool(address, nil)); old != nil {
 			old.Close()
 		}
 	}
-	e.failures.Store(0)
-	e.heard()
+	e.dialFailures.Store(0)
+	e.markResponsive()
 	e.setDown(false)
 }
 
-// SetRestarted tells that the backend server has started again at its address. What
-// was sent to its earlier start is lost: those exchanges end now, since a server that
-// vanished behind a cut would hold their slots until their deadlines.
+// SetRestarted records that the backend server restarted at its address. Requests sent
+// to its previous process are lost, and their exchanges end now: after a network
+// partition the old connections may stay open and silent, and would hold their slots
+// until their deadlines.
 func (e *Endpoint) SetRestarted(address string) {
-	e.account(e.witness.restarted())
+	e.reportExit(e.tracker.reset())
 	e.SetBackend(address)
-	next, end := context.WithCancel(context.Background())
+	next, cancel := context.WithCancel(context.Background())
 	e.mu.Lock()
-	endFormer := e.endLife
-	e.life, e.endLife = next, end
+	cancelPrevious := e.cancelServerCtx
+	e.serverCtx, e.cancelServerCtx = next, cancel
 	e.mu.Unlock()
-	endFormer()
-	e.with(func(now time.Duration) []gate.Event { return e.gate.ServerRestarted(now) })
+	cancelPrevious()
+	e.runGate(func(now time.Duration) []gate.Event { return e.gate.ServerRestarted(now) })
 }
 
-// Life ends when the backend server is known to have started again.
+// Life returns a context that is canceled when the backend server is known to have
+// restarted.
 func (e *Endpoint) Life() context.Context {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.life
+	return e.serverCtx
 }
 
-// SetOtherServer tells that another backend server, or another start of it, has taken
-// the place of the one before at this address. Requests are meant for the instance from
-// now on; it is empty for a backend server that has no instances.
+// SetOtherServer records that another backend server, or a new process of it, has
+// replaced the previous one at this address. From now on requests are sent for the
+// given instance, which is empty for a backend server without instances.
 func (e *Endpoint) SetOtherServer(instance, address string) {
-	e.account(e.witness.restarted())
+	e.reportExit(e.tracker.reset())
 	e.instance.Store(&instance)
 	e.SetBackend(address)
 }
 
 // SetDraining starts or ends a drain.
 func (e *Endpoint) SetDraining(draining bool) {
-	e.witness.setPlanned(draining)
-	e.with(func(now time.Duration) []gate.Event { return e.gate.SetDraining(now, draining) })
+	e.tracker.setPlanned(draining)
+	e.runGate(func(now time.Duration) []gate.Event { return e.gate.SetDraining(now, draining) })
 }
 
-// SetEvacuated tells whether the operator has emptied this data centre.
+// SetEvacuated records whether the operator has evacuated this data centre.
 func (e *Endpoint) SetEvacuated(evacuated bool) {
 	e.evacuated.Store(evacuated)
-	e.with(func(now time.Duration) []gate.Event { return e.gate.SetEvacuated(now, evacuated) })
+	e.runGate(func(now time.Duration) []gate.Event { return e.gate.SetEvacuated(now, evacuated) })
 }
 
-// SetCold tells that the backend server is cold. Left is how long it says that it
-// stays so, 0 if it does not say.
+// SetCold records that the backend server is cold. Left is the remaining time that it
+// reports, or 0 if it reports none.
 func (e *Endpoint) SetCold(left time.Duration) {
-	e.with(func(now time.Duration) []gate.Event {
+	e.runGate(func(now time.Duration) []gate.Event {
 		e.gate.SetCold(now, left)
 		return nil
 	})
 }
 
-// AssumeStarts tells that the process before this one may have started requests just
-// now.
+// AssumeStarts makes the gate assume that the previous process of this node has just
+// started requests.
 func (e *Endpoint) AssumeStarts() {
-	e.with(func(now time.Duration) []gate.Event {
+	e.runGate(func(now time.Duration) []gate.Event {
 		e.gate.AssumeStarts(now)
 		return nil
 	})
@@ -91,10 +93,10 @@
 		return
 	}
 	klog.InfoS("Backend server changed reach", "host", e.options.Host, "down", down)
-	e.with(func(now time.Duration) []gate.Event { return e.gate.SetDown(now, down) })
+	e.runGate(func(now time.Duration) []gate.Event { return e.gate.SetDown(now, down) })
 }
 
-// probe tries a backend server that is down until it accepts a connection.
+// probe polls a backend server that is down until it responds.
 func (e *Endpoint) probe() {
 	for {
 		time.Sleep(probeInterval)
@@ -104,9 +106,9 @@
 		if closed || !e.down.Load() {
 			return
 		}
-		if e.answers() {
-			e.failures.Store(0)
-			e.heard()
+		if e.responds() {
+			e.dialFailures.Store(0)
+			e.markResponsive()
 			e.SetCold(0)
 			e.setDown(false)
 			return
@@ -114,16 +116,16 @@
 	}
 }
 
-// answers tells whether the backend server is back: it answers its health path,
-// if it has one, whatever it says there, or accepts a connection.
-func (e *Endpoint) answers() bool {
-	pool, path := e.questions.Load(), e.health.Load()
+// responds reports whether the backend server is up: it returns any response on its
+// health path, or accepts a connection if it has no health path.
+func (e *Endpoint) responds() bool {
+	pool, path := e.healthPool.Load(), e.healthPath.Load()
 	if path == nil || *path == "" {
 		return pool.Reachable()
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), loadTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), loadQueryTimeout)
 	defer cancel()
-	resp, err := pool.Do(ctx, &hop.Outgoing{Method: http.MethodGet, URI: *path, Host: pool.Address(), Header: http.Header{}, Deadline: time.Now().Add(loadTimeout)})
+	resp, err := pool.Do(ctx, &hop.Outgoing{Method: http.MethodGet, URI: *path, Host: pool.Address(), Header: http.Header{}, Deadline: time.Now().Add(loadQueryTimeout)})
 	if err != nil {
 		return false
 	}
--- a/internal/endpoint/body_abort_test.go
+++ b/internal/endpoint/body_abort_test.go
@@ -15,9 +15,9 @@
 	"cactuspath/internal/hop"
 )
 
-// A caller's node dies in the middle of a deposit's body, which the gate had asked
-// for. The backend server must see nothing of it, so that the revoke which follows
-// is told the truth: it never started.
+// The caller's node fails in the middle of a body that this node had requested with 100
+// Continue. The backend server must see nothing of the request, so that the revoke that
+// follows is answered "never started".
 func TestBodyThatBreaksOffReachesNoBackendServer(t *testing.T) {
 	var reached atomic.Int64
 	backend := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { reached.Add(1) }))
--- a/internal/endpoint/cold_test.go
+++ b/internal/endpoint/cold_test.go
@@ -18,8 +18,8 @@
 
 const coldLimit = 10
 
-// coldServer is a backend server that tells in its health answers for how long it stays
-// cold, and notes when requests came.
+// coldServer is a backend server whose health responses tell how long it stays cold. It
+// records when requests arrive.
 type coldServer struct {
 	*httptest.Server
 	coldUntil atomic.Int64
@@ -46,7 +46,7 @@
 	return s
 }
 
-// between lists the requests that came in a span of time.
+// between lists the requests that arrived within a time span.
 func (s *coldServer) between(from, to time.Time) []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,9 +59,9 @@
 	return list
 }
 
-// Guards against a busy server that turns cold between two heartbeats: its answers to
-// requests do not tell, so that it is asked about its health in between.
-func TestServerThatTurnsColdUnderLoadGetsNoMoreThanItBears(t *testing.T) {
+// Guards against overloading a busy server that turns cold between two heartbeats. Its
+// responses to requests do not tell, so the health path must be polled in between.
+func TestServerThatTurnsColdUnderLoadStaysWithinLimit(t *testing.T) {
 	s := newColdServer(t)
 	dialect := &hop.Dialect{Load: "X-Load", ParseLoad: func(string) (hop.ServerLoad, bool) { return hop.ServerLoad{Slowdown: 1}, true },
 		Cold: "X-Cold", ParseCold: func(v string) (time.Duration, bool) {
@@ -73,9 +73,10 @@
 	t.Cleanup(e.Close)
 	e.SetHealthPath("/health")
 	e.SetBackend(s.Listener.Addr().String())
-	eventually(t, "the server told whether it is cold", func() bool { return e.coldObserved.Load() > 0 })
+	eventually(t, "the server reported whether it is cold", func() bool { return e.coldReportedAt.Load() > 0 })
 	const pause, coldFor = 40 * time.Millisecond, 1500 * time.Millisecond
-	// Offsets the truncation of both the deadline and the remaining time to whole milliseconds.
+	// Offsets the truncation of both the deadline and the remaining time to whole
+	// milliseconds.
 	const truncationMargin = 2 * time.Millisecond
 	var callers sync.WaitGroup
 	var from time.Time
@@ -87,18 +88,18 @@
 		callers.Go(func() { attempt(e) })
 	}
 	callers.Wait()
-	known, until := from.Add(coldInterval+loadInterval+pause), from.Add(coldFor)
+	known, until := from.Add(coldQueryInterval+loadQueryInterval+pause), from.Add(coldFor)
 	cold := s.between(known, until)
 	for _, first := range cold {
-		within := s.between(first.Add(-1), minTime(first.Add(time.Second), until))
+		within := s.between(first.Add(-1), earlier(first.Add(time.Second), until))
 		assert.Assert(t, len(within) <= coldLimit, "%d requests in a second", len(within))
 	}
-	assert.Assert(t, len(s.between(from.Add(-time.Second), from)) > 2*coldLimit, "it was busy before")
-	assert.Assert(t, len(cold) > 0, "it gets what it bears")
-	assert.Assert(t, len(s.between(until, until.Add(500*time.Millisecond))) > coldLimit, "it gets all again once it is warm")
+	assert.Assert(t, len(s.between(from.Add(-time.Second), from)) > 2*coldLimit, "the server must be busy before it turns cold")
+	assert.Assert(t, len(cold) > 0, "the cold server must get some requests")
+	assert.Assert(t, len(s.between(until, until.Add(500*time.Millisecond))) > coldLimit, "the warm server must get all requests again")
 }
 
-func minTime(a, b time.Time) time.Time {
+func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
 	}
--- a/internal/endpoint/counters.go
+++ b/internal/endpoint/counters.go
@@ -7,10 +7,10 @@
 	"cactuspath/internal/latency"
 )
 
-// Counters count what gates decided, over all backend servers of a node.
+// Counters count the decisions of the gates of all backend servers of a node.
 type Counters struct {
-	// Waited is the time from a request's arrival to its start, Ran that from its
-	// start to the end of its answer.
+	// Waited is the time from a request's arrival to its start, Ran that from its start
+	// to the end of its response.
 	Waited, Ran *latency.Histogram
 
 	Started, Moved, Probes, LoadMalformed expvar.Int
--- a/internal/endpoint/early_response_test.go
+++ b/internal/endpoint/early_response_test.go
@@ -18,10 +18,11 @@
 	"cactuspath/internal/hop"
 )
 
-// A backend server answers a long upload before it is in, at length. The caller's node
-// still sends when the whole answer has been passed on. Closing the connection with
-// bytes of the body unread resets it, and the caller gets half of the answer.
-func TestEarlyAnswerReachesANodeThatStillSends(t *testing.T) {
+// A backend server sends a long response before it has read a long upload, and the
+// caller's node still sends when the whole response has been passed on. Closing the
+// connection with unread body bytes resets it, and the caller gets only half of the
+// response.
+func TestEarlyResponseReachesNodeThatStillSends(t *testing.T) {
 	text := strings.Repeat("a", 4<<20)
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = http.NewResponseController(w).EnableFullDuplex()
@@ -37,14 +38,14 @@
 	defer node.Close()
 	for i := range uint32(10) {
 		id := gate.AttemptID{Request: [2]uint64{1, 2}, Attempt: i + 1}
-		assert.Equal(t, earlyAnswer(t, node.Listener.Addr().String(), id), len(text))
+		assert.Equal(t, uploadWhileReading(t, node.Listener.Addr().String(), id), len(text))
 	}
 	eventually(t, "the slots are free again", func() bool { return e.InFlight() == 0 })
 }
 
-// earlyAnswer sends an upload as a caller's node does and goes on sending while it
-// reads the answer; it returns the answer's length.
-func earlyAnswer(t *testing.T, address string, id gate.AttemptID) int {
+// uploadWhileReading sends an upload as a caller's node does and keeps sending while it
+// reads the response. It returns the length of the response body.
+func uploadWhileReading(t *testing.T, address string, id gate.AttemptID) int {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
@@ -70,11 +71,12 @@
 	return len(body)
 }
 
-// A backend server begins its answer at once and reads the body behind it. The caller's
-// node waits to be asked for the body: it must be asked ahead of the answer's head, or
-// all three wait for each other.
-func TestServerThatAnswersAsItReadsIsGivenTheBody(t *testing.T) {
-	// Few processors make it likely that the answer is there before the body's sender has run.
+// Guards against a deadlock when a backend server starts its response before it reads
+// the body. The caller's node waits for 100 Continue, which must precede the response
+// header, or server, gate and caller's node all three wait for each other.
+func TestServerThatAnswersAsItReadsReceivesBody(t *testing.T) {
+	// Few processors make it likely that the response arrives before the body's sender
+	// has run.
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(2))
 	const length = 200_000
 	backend, err := net.Listen("tcp", "127.0.0.1:0")
@@ -86,7 +88,7 @@
 			if err != nil {
 				return
 			}
-			go answerAsItReads(c)
+			go respondWhileReading(c)
 		}
 	}()
 	e := New(Options{Host: "a", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, Heard: func(uint64) {}, Counters: NewCounters(),
@@ -98,11 +100,11 @@
 	for i := range uint32(100) {
 		id := gate.AttemptID{Request: [2]uint64{1, 3}, Attempt: i + 1}
 		fields := fmt.Sprintf("%s: %s\r\nContent-Length: %d", hop.Header, hop.Request{ID: id, Incarnation: 1, Timeout: 5e9}.Encode(), length)
-		assert.Equal(t, askedExchange(t, node.Listener.Addr().String(), fields, strings.Repeat("x", length)), "read 200000")
+		assert.Equal(t, exchangeWithContinue(t, node.Listener.Addr().String(), fields, strings.Repeat("x", length)), "read 200000")
 	}
 }
 
-func answerAsItReads(c net.Conn) {
+func respondWhileReading(c net.Conn) {
 	defer c.Close()
 	r, err := http.ReadRequest(bufio.NewReader(c))
 	if err != nil {
--- a/internal/endpoint/ended.go
+++ b/internal/endpoint/ended.go
@@ -12,40 +12,42 @@
 	"cactuspath/internal/logs"
 )
 
-// What ran on the backend server when it ended. A request may be the cause; that is
-// found out by what ran on other servers that ended, so that each gate has to know its
-// part of it.
+// Tracks the requests that run on the backend server when its process exits. One of
+// them may be the cause. To find it, the requests that ran on other servers that exited
+// are compared, so every gate has to know and report its own.
 
 const (
-	// endTries is how often a backend server that broke off an exchange is looked for, and
-	// endPause the pause between. What ran on one that has ended breaks off within a few
-	// milliseconds; on a busy host it takes longer until all of it is noticed.
-	endTries = 20
-	endPause = 20 * time.Millisecond
-	// refusals in a row mean that it is gone. One that has too many connections turns some
-	// away as well.
-	refusals = 3
-	// breakMemory is how long an exchange that broke off counts as running: by then a
-	// server that vanished without a word, or was back at once, has announced its new start.
-	breakMemory = 5 * time.Second
-	// mostBroken bounds the exchanges that are remembered.
-	mostBroken = 128
+	// exitChecks is how many times a backend server that broke off an exchange is checked,
+	// and exitCheckInterval the interval between checks. After an exit all exchanges
+	// break off within a few milliseconds; on a busy host it takes longer until all of
+	// that is noticed.
+	exitChecks        = 20
+	exitCheckInterval = 20 * time.Millisecond
+	// exitRefusals is the number of consecutive refused connections that mean that the
+	// server has exited. A server with too many connections also refuses some.
+	exitRefusals = 3
+	// brokenRunTTL is how long a request whose exchange broke off counts as running.
+	// Within that time a server that vanished silently or restarted at once has
+	// announced its new process.
+	brokenRunTTL = 5 * time.Second
+	// maxBrokenRuns bounds the number of broken-off requests that are remembered.
+	maxBrokenRuns = 128
 )
 
-// run is one request that the backend server has.
+// run is a request in progress on the backend server.
 type run struct {
 	attempt gate.AttemptID
 	target  quarantine.Target
 	content quarantine.Content
-	// stream is the body of a request whose content is not known before it was read.
-	stream *hop.Body
-	began  time.Time
-	// brokeAt is when the exchange broke off; zero while it goes on.
-	brokeAt time.Time
+	// stream is the body of a request whose content is unknown until the body was read.
+	stream    *hop.Body
+	startedAt time.Time
+	// brokenAt is when the exchange broke off; zero while it is in progress.
+	brokenAt time.Time
 }
 
-// settled is the run with its content, if that is known by now.
-func (r *run) settled() run {
+// withContent returns a copy of the run, with its content if that is known by now.
+func (r *run) withContent() run {
 	s := *r
 	if !s.content.Known() && s.stream != nil {
 		if sum, known := s.stream.Sum(); known {
@@ -55,155 +57,157 @@
 	return s
 }
 
-// witness keeps what runs on one start of the backend server, and what broke off.
-// Safe for concurrent use.
-type witness struct {
+// runTracker tracks the requests that run on one process of the backend server, and
+// those whose exchange broke off. It is safe for concurrent use.
+type runTracker struct {
 	mu      sync.Mutex
 	running map[gate.Handle]*run
 	broken  []run
-	// over: this start has ended, at overAt, and was accounted for.
-	over   bool
-	overAt time.Time
-	// planned: it is leaving, and its end is no wonder.
+	// exited: this process has exited, at exitedAt, and its runs were collected.
+	exited   bool
+	exitedAt time.Time
+	// planned: the server is draining, so its exit is expected.
 	planned bool
-	// looking: somebody finds out whether the server is there.
-	looking bool
+	// checking: a goroutine is checking whether the server is up.
+	checking bool
 }
 
-func newWitness() *witness { return &witness{running: map[gate.Handle]*run{}} }
+func newRunTracker() *runTracker { return &runTracker{running: map[gate.Handle]*run{}} }
 
-func (w *witness) begin(handle gate.Handle, r *run) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	r.began = time.Now()
-	w.running[handle] = r
+func (t *runTracker) add(handle gate.Handle, r *run) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r.startedAt = time.Now()
+	t.running[handle] = r
 }
 
-// end takes out a run that did not break off. One that was answered shows that the
-// server is there, whatever was found before.
-func (w *witness) end(handle gate.Handle, answered bool) *run {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	r := w.running[handle]
-	delete(w.running, handle)
-	w.over = w.over && !answered
+// remove removes a run whose exchange did not break off. A response proves that the server is up,
+// whatever an earlier check found.
+func (t *runTracker) remove(handle gate.Handle, answered bool) *run {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.running[handle]
+	delete(t.running, handle)
+	t.exited = t.exited && !answered
 	return r
 }
 
-// breakOff notes that an exchange broke off; true asks the caller to find out whether
-// the server is there.
-func (w *witness) breakOff(handle gate.Handle) (look bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	r := w.running[handle]
-	delete(w.running, handle)
-	if r == nil || w.over && r.began.Before(w.overAt) {
+// markBroken records that an exchange broke off. It returns true if the caller must
+// check whether the server is up.
+func (t *runTracker) markBroken(handle gate.Handle) (check bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.running[handle]
+	delete(t.running, handle)
+	if r == nil || t.exited && r.startedAt.Before(t.exitedAt) {
 		return false
 	}
-	// The exchange had a connection, so that the server has started again since.
-	w.over = false
-	r.brokeAt = time.Now()
-	w.broken = append(w.broken, *r)
-	w.broken = w.broken[max(0, len(w.broken)-mostBroken):]
-	look = !w.looking
-	w.looking = true
-	return look
+	// The exchange had a connection, so the server has restarted since.
+	t.exited = false
+	r.brokenAt = time.Now()
+	t.broken = append(t.broken, *r)
+	t.broken = t.broken[max(0, len(t.broken)-maxBrokenRuns):]
+	check = !t.checking
+	t.checking = true
+	return check
 }
 
-// gone tells that the server accepts no connections. It has ended if nothing goes on
-// there that began before something broke off.
-func (w *witness) gone() (ended []run, sure bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, r := range w.running {
-		if len(w.broken) > 0 && r.began.Before(w.broken[0].brokeAt) {
+// confirmExit is called when the server accepts no connections. The server has exited
+// if no request is still running that began before the first exchange broke off.
+func (t *runTracker) confirmExit() (runs []run, confirmed bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, r := range t.running {
+		if len(t.broken) > 0 && r.startedAt.Before(t.broken[0].brokenAt) {
 			return nil, false
 		}
 	}
-	return w.close(), true
+	return t.collectRuns(), true
 }
 
-func (w *witness) looked() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.looking = false
+func (t *runTracker) checkDone() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.checking = false
 }
 
-// restarted tells that the server is another start than the one before. What still runs
-// was on that one, and must not count as running when the new one ends.
-func (w *witness) restarted() (ended []run) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	ended = w.close()
-	clear(w.running)
-	w.over, w.planned = false, false
-	return ended
+// reset prepares for a new process of the server. Runs still in progress belong to the
+// previous process and must not count as running when the new one exits.
+func (t *runTracker) reset() (runs []run) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	runs = t.collectRuns()
+	clear(t.running)
+	t.exited, t.planned = false, false
+	return runs
 }
 
-// close ends the account of this start, once; the caller holds the lock.
-func (w *witness) close() []run {
-	if w.over {
+// collectRuns returns the runs of an exited process, once; the caller must hold mu.
+func (t *runTracker) collectRuns() []run {
+	if t.exited {
 		return nil
 	}
 	var list []run
-	for _, r := range w.broken {
-		if time.Since(r.brokeAt) < breakMemory {
-			list = append(list, r.settled())
+	for _, r := range t.broken {
+		if time.Since(r.brokenAt) < brokenRunTTL {
+			list = append(list, r.withContent())
 		}
 	}
-	for _, r := range w.running {
-		list = append(list, r.settled())
+	for _, r := range t.running {
+		list = append(list, r.withContent())
 	}
-	w.broken, w.over, w.overAt = nil, true, time.Now()
-	if w.planned {
+	t.broken, t.exited, t.exitedAt = nil, true, time.Now()
+	if t.planned {
 		return nil
 	}
 	return list
 }
 
-func (w *witness) setPlanned(planned bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.planned = planned
+func (t *runTracker) setPlanned(planned bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.planned = planned
 }
 
-// broke takes in an exchange that broke off, and finds out whether the server is there.
-func (e *Endpoint) broke(handle gate.Handle) {
-	if e.witness.breakOff(handle) {
-		go e.look()
+// exchangeBroke records an exchange that broke off, and starts a check whether the
+// server is up.
+func (e *Endpoint) exchangeBroke(handle gate.Handle) {
+	if e.tracker.markBroken(handle) {
+		go e.checkExit()
 	}
 }
 
-// look finds out whether the backend server has ended. If that cannot be told, its next
-// announcement tells.
-func (e *Endpoint) look() {
-	defer e.witness.looked()
-	refused := 0
-	for range endTries {
-		pool := e.questions.Load()
+// checkExit checks whether the backend server has exited. If the checks are
+// inconclusive, the server's next announcement decides.
+func (e *Endpoint) checkExit() {
+	defer e.tracker.checkDone()
+	refusals := 0
+	for range exitChecks {
+		pool := e.healthPool.Load()
 		if pool == nil || pool.Reachable() {
 			return
 		}
-		if refused++; refused >= refusals {
-			if ended, sure := e.witness.gone(); sure {
-				e.account(ended)
+		if refusals++; refusals >= exitRefusals {
+			if runs, confirmed := e.tracker.confirmExit(); confirmed {
+				e.reportExit(runs)
 				return
 			}
 		}
-		time.Sleep(endPause)
+		time.Sleep(exitCheckInterval)
 	}
 }
 
-// account tells the other nodes what ran on a backend server that ended.
-func (e *Endpoint) account(ended []run) {
-	if len(ended) == 0 {
+// reportExit reports to the other nodes which requests ran on a backend server that
+// exited.
+func (e *Endpoint) reportExit(runs []run) {
+	if len(runs) == 0 {
 		return
 	}
 	var contents []quarantine.Content
 	var paths []quarantine.Key
-	told := make([]string, 0, len(ended))
-	for _, r := range ended {
-		told = append(told, hop.FormatID(r.attempt)+"="+r.content.Exact.String()+"/"+r.content.Alike.String())
+	attempts := make([]string, 0, len(runs))
+	for _, r := range runs {
+		attempts = append(attempts, hop.FormatID(r.attempt)+"="+r.content.Exact.String()+"/"+r.content.Alike.String())
 		if r.content.Known() {
 			contents = append(contents, r.content)
 		}
@@ -211,56 +215,57 @@
 			paths = append(paths, quarantine.PathOf(r.target))
 		}
 	}
-	klog.InfoS("Backend server ended", "host", e.options.Host, "running", len(ended), "attempts", told)
+	klog.InfoS("Backend server ended", "host", e.options.Host, "running", len(runs), "attempts", attempts)
 	e.options.Quarantine.Ended(contents, paths)
 }
 
-// completed takes in a run that was answered in whole.
-func (e *Endpoint) completed(handle gate.Handle) {
-	if r := e.witness.end(handle, true); r != nil {
-		e.options.Quarantine.Completed(r.settled().content)
+// runCompleted records a run whose response was complete.
+func (e *Endpoint) runCompleted(handle gate.Handle) {
+	if r := e.tracker.remove(handle, true); r != nil {
+		e.options.Quarantine.Completed(r.withContent().content)
 	}
 }
 
-// barred tells for how long a request that is about to run is kept away; 0 if it is not.
-// It may have waited since it arrived. Where a server ended under a streamed body with
-// its path, the beginning of the body is read first, since it tells the request apart.
-func (e *Endpoint) barred(r *run, out *hop.Outgoing) time.Duration {
+// quarantinedFor returns for how long a request that is about to run is still
+// quarantined, or 0. The quarantine may have begun while the request waited. If a
+// server exited while it ran a streamed request with the same path, the beginning of
+// the body is read first, to identify the request.
+func (e *Endpoint) quarantinedFor(r *run, out *hop.Outgoing) time.Duration {
 	if !r.content.Known() && e.options.Quarantine.Suspected(quarantine.PathOf(r.target)) {
 		out.Stream.ReadAhead(quarantine.PrefixBytes+1, out.Deadline)
-		*r = r.settled()
+		*r = r.withContent()
 	}
 	return e.options.Quarantine.Barred(r.content)
 }
 
-// keepAway refuses a request that is kept away. It is as unwelcome everywhere, so that
-// it is not tried elsewhere.
-func (e *Endpoint) keepAway(c quarantine.Content, out *hop.Outgoing, reply hop.Reply, left time.Duration) hop.Reply {
+// refuseQuarantined refuses a quarantined request. All other servers would refuse it as
+// well, so it must not be retried elsewhere.
+func (e *Endpoint) refuseQuarantined(c quarantine.Content, out *hop.Outgoing, reply hop.Reply, left time.Duration) hop.Reply {
 	e.options.Quarantine.Refused()
 	logs.Decision(true, "Request kept away", "request", out.ID, "attempt", hop.FormatID(reply.ID), "host", e.options.Host, "content", c.Exact, "alike", c.Alike, "for", left)
 	reply.Verdict, reply.Reason, reply.RetryAfter, reply.Everywhere = hop.Refused, gate.Quarantined, left, true
 	return reply
 }
 
-// runOf is what is remembered of a request while the backend server has it. A body
-// that is streamed tells requests apart only as it passes.
-func (e *Endpoint) runOf(req hop.Request, out *hop.Outgoing) *run {
+// newRun returns the record of a request that is about to run. Requests with a streamed
+// body can be told apart only as the body is read.
+func (e *Endpoint) newRun(req hop.Request, out *hop.Outgoing) *run {
 	r := &run{attempt: req.ID, content: req.Content}
 	if out.Stream != nil && !r.content.Known() {
-		r.target, r.stream = e.target(out), out.Stream
+		r.target, r.stream = e.quarantineTarget(out), out.Stream
 		out.Stream.SumUp()
 	}
 	return r
 }
 
-// target is what a request asks for, as far as it is known without its body.
-func (e *Endpoint) target(out *hop.Outgoing) quarantine.Target {
-	t := quarantine.Target{Method: out.Method, Host: out.Host, URI: out.URI}
+// quarantineTarget returns what identifies a request without its body.
+func (e *Endpoint) quarantineTarget(out *hop.Outgoing) quarantine.Target {
+	target := quarantine.Target{Method: out.Method, Host: out.Host, URI: out.URI}
 	if field := e.options.Dialect.CallerService; field != "" {
-		t.Caller = out.Header.Get(field)
+		target.Caller = out.Header.Get(field)
 	}
 	if out.Length > quarantine.PrefixBytes {
-		t.Length = out.Length
+		target.Length = out.Length
 	}
-	return t
+	return target
 }
--- a/internal/endpoint/ended_test.go
+++ b/internal/endpoint/ended_test.go
@@ -18,63 +18,63 @@
 	"cactuspath/internal/quarantine"
 )
 
-// mortal is a backend server that can end with what it runs, or break off its
-// connections without ending. It answers nothing but requests for /quick.
-type mortal struct {
+// crashingServer is a backend server that can exit with requests in progress, or reset
+// its connections without an exit. It responds only to requests for /quick.
+type crashingServer struct {
 	t       *testing.T
 	address string
 
-	// got counts the requests that came.
-	got atomic.Int64
+	// received counts the requests that arrived.
+	received atomic.Int64
 
-	mu    sync.Mutex
-	l     net.Listener
-	conns []net.Conn
+	mu       sync.Mutex
+	listener net.Listener
+	conns    []net.Conn
 }
 
-func startMortal(t *testing.T) *mortal {
-	m := &mortal{t: t}
-	m.begin("127.0.0.1:0")
-	t.Cleanup(m.end)
-	return m
+func startCrashingServer(t *testing.T) *crashingServer {
+	s := &crashingServer{t: t}
+	s.listen("127.0.0.1:0")
+	t.Cleanup(s.crash)
+	return s
 }
 
-func (m *mortal) begin(address string) {
-	var l net.Listener
-	eventually(m.t, "the port is free", func() (ok bool) {
+func (s *crashingServer) listen(address string) {
+	var listener net.Listener
+	eventually(s.t, "the port is free", func() (ok bool) {
 		var err error
-		l, err = net.Listen("tcp", address)
+		listener, err = net.Listen("tcp", address)
 		return err == nil
 	})
-	m.mu.Lock()
-	m.l, m.address = l, l.Addr().String()
-	m.mu.Unlock()
+	s.mu.Lock()
+	s.listener, s.address = listener, listener.Addr().String()
+	s.mu.Unlock()
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			if m.hold(l, c) {
-				go m.serve(c)
+			if s.track(listener, c) {
+				go s.serve(c)
 			}
 		}
 	}()
 }
 
-// hold keeps a connection that was accepted before the server ended.
-func (m *mortal) hold(l net.Listener, c net.Conn) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.l != l {
+// track records a connection, unless the server has exited since it was accepted.
+func (s *crashingServer) track(listener net.Listener, c net.Conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.listener != listener {
 		_ = c.Close()
 		return false
 	}
-	m.conns = append(m.conns, c)
+	s.conns = append(s.conns, c)
 	return true
 }
 
-func (m *mortal) serve(c net.Conn) {
+func (s *crashingServer) serve(c net.Conn) {
 	r := bufio.NewReader(c)
 	for {
 		req, err := http.ReadRequest(r)
@@ -82,37 +82,37 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
-		m.got.Add(1)
+		s.received.Add(1)
 		if req.URL.Path == "/quick" {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
 	}
 }
 
-// breakOff resets all connections.
-func (m *mortal) breakOff() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for _, c := range m.conns {
+// resetConns resets all connections.
+func (s *crashingServer) resetConns() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, c := range s.conns {
 		_ = c.(*net.TCPConn).SetLinger(0)
 		_ = c.Close()
 	}
-	m.conns = nil
+	s.conns = nil
 }
 
-func (m *mortal) end() {
-	m.mu.Lock()
-	if m.l != nil {
-		_ = m.l.Close()
+func (s *crashingServer) crash() {
+	s.mu.Lock()
+	if s.listener != nil {
+		_ = s.listener.Close()
 	}
-	m.l = nil
-	m.mu.Unlock()
-	m.breakOff()
+	s.listener = nil
+	s.mu.Unlock()
+	s.resetConns()
 }
 
-// mortalSite is an endpoint beside a mortal server.
-type mortalSite struct {
-	*mortal
+// crashFixture is an endpoint with a crashingServer.
+type crashFixture struct {
+	*crashingServer
 	endpoint *Endpoint
 	keeper   *quarantine.Keeper
 	counters *quarantine.Counters
@@ -120,26 +120,26 @@
 	callers  sync.WaitGroup
 }
 
-func newMortalSite(t *testing.T) *mortalSite {
-	s := &mortalSite{mortal: startMortal(t), counters: &quarantine.Counters{}}
+func newCrashFixture(t *testing.T) *crashFixture {
+	s := &crashFixture{crashingServer: startCrashingServer(t), counters: &quarantine.Counters{}}
 	s.keeper = quarantine.New(quarantine.Options{Host: "h", Send: func(string, []byte) {}, Counters: s.counters})
 	s.endpoint = New(Options{Host: "h", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, Heard: func(uint64) {}, Send: func(string, gate.Report) {},
 		Counters: NewCounters(), Quarantine: s.keeper}, gate.Config{Slots: 4, Queue: 4})
 	s.endpoint.SetOtherServer("first", s.address)
-	t.Cleanup(func() { s.end(); s.callers.Wait(); s.endpoint.Close() })
+	t.Cleanup(func() { s.crash(); s.callers.Wait(); s.endpoint.Close() })
 	return s
 }
 
-// contentAt is the content of a request for the path.
-func contentAt(path string) content.Content {
+// contentOf returns the content of a request for the path.
+func contentOf(path string) content.Content {
 	return content.ContentOf(content.Target{Method: http.MethodGet, Host: "pay.example", URI: path}, content.SumOf(nil))
 }
 
-func (s *mortalSite) attempt(path string) hop.Reply {
+func (s *crashFixture) attempt(path string) hop.Reply {
 	s.attempts++
 	id := gate.AttemptID{Request: [2]uint64{1, 2}, Attempt: s.attempts}
 	out := &hop.Outgoing{Method: http.MethodGet, URI: path, Host: "pay.example", Header: http.Header{}, Deadline: time.Now().Add(time.Minute)}
-	resp, reply := s.endpoint.Attempt(s.t.Context(), hop.Request{ID: id, Incarnation: 1, Timeout: time.Minute, Content: contentAt(path)}, out, nil)
+	resp, reply := s.endpoint.Attempt(s.t.Context(), hop.Request{ID: id, Incarnation: 1, Timeout: time.Minute, Content: contentOf(path)}, out, nil)
 	if resp != nil {
 		_, _ = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
@@ -147,85 +147,87 @@
 	return reply
 }
 
-// run has a request run that is not answered.
-func (s *mortalSite) run(path string) {
+// startAttempt starts a request that gets no response, and waits until it runs.
+func (s *crashFixture) startAttempt(path string) {
 	s.t.Helper()
-	before := s.got.Load()
+	before := s.received.Load()
 	s.callers.Go(func() { s.attempt(path) })
-	eventually(s.t, "the server has the request", func() bool { return s.got.Load() > before })
+	eventually(s.t, "the server has received the request", func() bool { return s.received.Load() > before })
 }
 
-func (s *mortalSite) ends() int { return int(s.counters.Ends.Value()) }
+func (s *crashFixture) exits() int { return int(s.counters.Ends.Value()) }
 
-// settled is longer than it takes to find out that a server has ended.
-const settled = 4 * refusals * endPause
+// exitDetectionTime is longer than the detection of a server exit takes.
+const exitDetectionTime = 4 * exitRefusals * exitCheckInterval
 
-// A request ends its server three times, in one way or another. The gate must see each
-// of these ends, once, and keep the request away; it must not take for an end what is
-// none, or harmless requests would be kept away.
+// A request under which its server exits three times is quarantined. The gate must
+// therefore detect each exit exactly once, however it happens; a false detection would
+// quarantine harmless requests.
 func TestGateSeesItsServerEnd(t *testing.T) {
 	for _, c := range []struct {
-		desc string
-		end  func(s *mortalSite)
-		want int
+		name  string
+		crash func(s *crashFixture)
+		want  int
 	}{
-		{"its connections break off and its port refuses", func(s *mortalSite) { s.end() }, 1},
-		{"the same, and it starts again", func(s *mortalSite) {
-			s.end()
-			eventually(s.t, "the end is seen", func() bool { return s.ends() == 1 })
-			s.begin(s.address)
+		{"connections break off and the port refuses", func(s *crashFixture) { s.crash() }, 1},
+		{"connections break off, the port refuses, and the server restarts", func(s *crashFixture) {
+			s.crash()
+			eventually(s.t, "the exit is detected", func() bool { return s.exits() == 1 })
+			s.listen(s.address)
 			s.endpoint.SetOtherServer("second", s.address)
 		}, 1},
-		{"it is back before anybody looked", func(s *mortalSite) {
-			s.breakOff()
-			time.Sleep(settled)
+		{"the server is back before the first check", func(s *crashFixture) {
+			s.resetConns()
+			time.Sleep(exitDetectionTime)
 			s.endpoint.SetOtherServer("second", s.address)
 		}, 1},
-		{"it vanished without a word and starts again", func(s *mortalSite) { s.endpoint.SetOtherServer("second", s.address) }, 1},
-		{"it starts again as the same instance", func(s *mortalSite) { s.endpoint.SetRestarted(s.address) }, 1},
-		{"its connections break off, and it is there", func(s *mortalSite) { s.breakOff() }, 0},
-		{"it leaves as planned", func(s *mortalSite) { s.endpoint.SetDraining(true); s.end() }, 0},
+		{"the server vanishes silently and restarts", func(s *crashFixture) { s.endpoint.SetOtherServer("second", s.address) }, 1},
+		{"the server restarts as the same instance", func(s *crashFixture) { s.endpoint.SetRestarted(s.address) }, 1},
+		{"connections break off while the server is up", func(s *crashFixture) { s.resetConns() }, 0},
+		{"the server exits after a drain", func(s *crashFixture) { s.endpoint.SetDraining(true); s.crash() }, 0},
 	} {
-		t.Run(c.desc, func(t *testing.T) {
-			s := newMortalSite(t)
-			s.run("/fatal")
-			c.end(s)
-			eventually(t, "all ends are seen", func() bool { return s.ends() >= c.want })
-			time.Sleep(settled)
-			assert.Equal(t, s.ends(), c.want)
+		t.Run(c.name, func(t *testing.T) {
+			s := newCrashFixture(t)
+			s.startAttempt("/fatal")
+			c.crash(s)
+			eventually(t, "all exits are detected", func() bool { return s.exits() >= c.want })
+			time.Sleep(exitDetectionTime)
+			assert.Equal(t, s.exits(), c.want)
 		})
 	}
 }
 
-// A server starts again while a request is left over from its earlier start. It ends once
-// more, under another request: the first one was on one of the two.
-func TestRunOfAnEarlierStartCountsOnce(t *testing.T) {
-	s := newMortalSite(t)
-	s.run("/left")
+// A server restarts while a request of its previous process is left over, then exits
+// again under another request. The first request must count for only one of the two
+// exits.
+func TestRunOfPreviousProcessCountsOnce(t *testing.T) {
+	s := newCrashFixture(t)
+	s.startAttempt("/left")
 	s.endpoint.SetOtherServer("second", s.address)
-	assert.Equal(t, s.ends(), 1)
-	s.breakOff()
-	s.run("/other")
-	s.end()
-	eventually(t, "the second end is seen", func() bool { return s.ends() == 2 })
-	s.begin(s.address)
-	s.run("/other")
-	s.end()
-	eventually(t, "the third end is seen", func() bool { return s.ends() == 3 })
-	assert.Equal(t, s.keeper.Barred(contentAt("/left")), time.Duration(0))
-	assert.Equal(t, s.keeper.Barred(contentAt("/other")), time.Duration(0))
+	assert.Equal(t, s.exits(), 1)
+	s.resetConns()
+	s.startAttempt("/other")
+	s.crash()
+	eventually(t, "the second exit is detected", func() bool { return s.exits() == 2 })
+	s.listen(s.address)
+	s.startAttempt("/other")
+	s.crash()
+	eventually(t, "the third exit is detected", func() bool { return s.exits() == 3 })
+	assert.Equal(t, s.keeper.Barred(contentOf("/left")), time.Duration(0))
+	assert.Equal(t, s.keeper.Barred(contentOf("/other")), time.Duration(0))
 }
 
-// A server ends three times under one request, beside one that is answered in between.
-// The first is refused from then on, at once and as not run; the other one is served.
-func TestGateKeepsAwayWhatEndsItsServer(t *testing.T) {
-	s := newMortalSite(t)
+// A server exits three times under one request, while another request completes in
+// between. The first must be refused at once from then on, as not run; the other is
+// served.
+func TestGateQuarantinesRequestThatCrashesItsServer(t *testing.T) {
+	s := newCrashFixture(t)
 	for i := range 3 {
 		assert.Equal(t, s.attempt("/quick").Verdict, hop.Ran)
-		s.run("/fatal")
-		s.end()
-		eventually(t, "the end is seen", func() bool { return s.ends() == i+1 })
-		s.begin(s.address)
+		s.startAttempt("/fatal")
+		s.crash()
+		eventually(t, "the exit is detected", func() bool { return s.exits() == i+1 })
+		s.listen(s.address)
 	}
 	reply := s.attempt("/fatal")
 	assert.Equal(t, reply.Verdict, hop.Refused)
--- a/internal/endpoint/interim_test.go
+++ b/internal/endpoint/interim_test.go
@@ -18,63 +18,64 @@
 	"cactuspath/internal/hop"
 )
 
-// oneWriter notes when two goroutines write answers at once, and what was written
-// in which order.
-type oneWriter struct {
-	header  http.Header
-	writing atomic.Int32
-	mixed   atomic.Bool
-	mu      sync.Mutex
-	codes   []int
+// overlapDetector is a ResponseWriter that detects concurrent WriteHeader calls and
+// records the status codes in order.
+type overlapDetector struct {
+	header     http.Header
+	active     atomic.Int32
+	overlapped atomic.Bool
+	mu         sync.Mutex
+	codes      []int
 }
 
-func (w *oneWriter) Header() http.Header         { return w.header }
-func (w *oneWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (w *overlapDetector) Header() http.Header         { return w.header }
+func (w *overlapDetector) Write(p []byte) (int, error) { return len(p), nil }
 
-func (w *oneWriter) WriteHeader(code int) {
-	if w.writing.Add(1) > 1 {
-		w.mixed.Store(true)
+func (w *overlapDetector) WriteHeader(code int) {
+	if w.active.Add(1) > 1 {
+		w.overlapped.Store(true)
 	}
-	defer w.writing.Add(-1)
-	// Long enough for another goroutine to come in between.
+	defer w.active.Add(-1)
+	// Long enough for another goroutine to interleave.
 	time.Sleep(time.Millisecond)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.codes = append(w.codes, code)
 }
 
-// A gate tells the caller's node of a faster sibling while the goroutine that sends
-// the body on asks for it. Both write on the same connection: at once they mix, and
-// the caller's node takes the exchange for broken.
-func TestHintsAndTheQuestionForTheBodyDoNotMix(t *testing.T) {
-	w := &oneWriter{header: http.Header{}}
-	interim := &interimAnswers{w: w}
-	body := &askedBody{ReadCloser: io.NopCloser(strings.NewReader("body")), interim: interim}
-	var both sync.WaitGroup
-	both.Go(func() {
+// Guards against concurrent interim responses. The gate sends the caller's node a hint
+// about a faster sibling while the goroutine that forwards the body sends 100 Continue.
+// Interleaved on the connection, they make the caller's node treat the exchange as
+// broken.
+func TestHintsAndContinueDoNotOverlap(t *testing.T) {
+	w := &overlapDetector{header: http.Header{}}
+	interim := &interimResponses{w: w}
+	body := &continueBody{ReadCloser: io.NopCloser(strings.NewReader("body")), interim: interim}
+	var writers sync.WaitGroup
+	writers.Go(func() {
 		for range 20 {
 			interim.hint(hop.AnyHost)
 		}
 	})
-	both.Go(func() { _, _ = io.ReadAll(body) })
-	both.Wait()
-	assert.Assert(t, !w.mixed.Load(), "two interim answers were written at once")
-	asked := 0
+	writers.Go(func() { _, _ = io.ReadAll(body) })
+	writers.Wait()
+	assert.Assert(t, !w.overlapped.Load(), "two interim responses were written at once")
+	continues := 0
 	for _, code := range w.codes {
 		if code == http.StatusContinue {
-			asked++
+			continues++
 		}
 	}
-	assert.Equal(t, asked, 1)
+	assert.Equal(t, continues, 1)
 }
 
-// The same on a real connection: the caller's node asks first, is told of siblings
-// and sends its body once asked. A tenth of such exchanges were unreadable, or hung,
-// when the two were written at once.
-func TestExchangeWithHintsAndABodyIsReadable(t *testing.T) {
+// The same on a real connection: the caller's node expects 100 Continue, gets hints and
+// then sends its body. A tenth of such exchanges were unreadable or hung when both were
+// written at once.
+func TestExchangeWithHintsAndBodyIsReadable(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		interim := &interimAnswers{w: w}
-		body := &askedBody{ReadCloser: r.Body, interim: interim}
+		interim := &interimResponses{w: w}
+		body := &continueBody{ReadCloser: r.Body, interim: interim}
 		var hints sync.WaitGroup
 		hints.Go(func() {
 			for range 5 {
@@ -88,13 +89,13 @@
 	}))
 	defer server.Close()
 	for range 200 {
-		assert.Equal(t, askedExchange(t, server.Listener.Addr().String(), "Content-Length: 10", "0123456789"), "0123456789 <nil>")
+		assert.Equal(t, exchangeWithContinue(t, server.Listener.Addr().String(), "Content-Length: 10", "0123456789"), "0123456789 <nil>")
 	}
 }
 
-// askedExchange sends a request with a body once it is asked for that, and returns the
-// answer's body.
-func askedExchange(t *testing.T, address, fields, text string) string {
+// exchangeWithContinue sends a request, sends its body after 100 Continue, and returns
+// the response body.
+func exchangeWithContinue(t *testing.T, address, fields, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
@@ -110,19 +111,18 @@
 			_, err = io.WriteString(c, text)
 			assert.NilError(t, err)
 		case resp.StatusCode >= http.StatusOK:
-			answer, err := io.ReadAll(resp.Body)
+			response, err := io.ReadAll(resp.Body)
 			assert.NilError(t, err)
-			return string(answer)
+			return string(response)
 		}
 	}
 }
 
-// The answer has begun. A hint or a question that comes now would be read as a part
-// of it.
-func TestNothingInterimFollowsTheAnswersBeginning(t *testing.T) {
-	w := &oneWriter{header: http.Header{}}
-	interim := &interimAnswers{w: w}
-	body := &askedBody{ReadCloser: io.NopCloser(strings.NewReader("body")), interim: interim}
+// A hint or 100 Continue sent after the response has begun would be read as part of it.
+func TestNoInterimResponseAfterResponseBegins(t *testing.T) {
+	w := &overlapDetector{header: http.Header{}}
+	interim := &interimResponses{w: w}
+	body := &continueBody{ReadCloser: io.NopCloser(strings.NewReader("body")), interim: interim}
 	interim.end()
 	interim.hint(hop.AnyHost)
 	_, err := io.ReadAll(body)
--- a/internal/endpoint/load_test.go
+++ b/internal/endpoint/load_test.go
@@ -17,22 +17,22 @@
 	"cactuspath/internal/hop"
 )
 
-// toldServer is a backend server whose figure a test sets, and that counts questions.
-type toldServer struct {
+// loadServer is a backend server that reports a configurable load and counts queries.
+type loadServer struct {
 	*httptest.Server
-	// slowdown is the figure in percent; a negative one is not told for a while.
-	slowdown  atomic.Int64
-	questions atomic.Int64
+	// slowdown is the reported slowdown in percent; a negative one delays the report.
+	slowdown atomic.Int64
+	queries  atomic.Int64
 }
 
-func newToldServer(t *testing.T) *toldServer {
-	s := &toldServer{}
+func newLoadServer(t *testing.T) *loadServer {
+	s := &loadServer{}
 	s.slowdown.Store(100)
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/health" {
-			s.questions.Add(1)
+			s.queries.Add(1)
 			if s.slowdown.Load() < 0 {
-				time.Sleep(4 * mostAsking)
+				time.Sleep(4 * maxLoadWait)
 			}
 		}
 		w.Header().Set("X-Load", strconv.FormatInt(s.slowdown.Load(), 10))
@@ -42,7 +42,7 @@
 	return s
 }
 
-func toldEndpoint(t *testing.T, s *toldServer) *Endpoint {
+func newLoadEndpoint(t *testing.T, s *loadServer) *Endpoint {
 	dialect := &hop.Dialect{Load: "X-Load", ParseLoad: func(value string) (hop.ServerLoad, bool) {
 		percent, err := strconv.ParseFloat(value, 64)
 		return hop.ServerLoad{Slowdown: percent / 100}, err == nil
@@ -53,13 +53,14 @@
 	e.SetHealthPath("/health")
 	e.SetBackend(s.Listener.Addr().String())
 	e.SetSiblings([]gate.Sibling{{Host: "fast", Distance: time.Millisecond}})
-	eventually(t, "the load is known", func() bool { return e.observed.Load() > 0 })
+	eventually(t, "the load is known", func() bool { return e.loadReportedAt.Load() > 0 })
 	return e
 }
 
 var attempts atomic.Uint64
 
-// attempt sends a request of 100 ms by its aim and tells the gate's verdict.
+// attempt sends a request with an aim of 300 ms, which the gate takes for 100 ms of work,
+// and returns the verdict.
 func attempt(e *Endpoint) hop.Verdict {
 	id := gate.AttemptID{Request: [2]uint64{7, attempts.Add(1)}, Attempt: 1}
 	resp, reply := e.Attempt(context.Background(), hop.Request{ID: id, Incarnation: 1, Timeout: 5 * time.Second, Movable: true, Class: "read", Aim: 300 * time.Millisecond, AimLeft: 300 * time.Millisecond},
@@ -70,18 +71,19 @@
 	return reply.Verdict
 }
 
-// The server's host is taken by a neighbour, and a request comes before the server was
-// asked again. Decided on the figure of a moment ago it would start, and keep that pace
-// to its caller's timeout; the gate asks first, and a sibling gets it.
-func TestServerIsAskedBeforeARequestStarts(t *testing.T) {
-	s := newToldServer(t)
-	e := toldEndpoint(t, s)
+// Another workload takes up the server's host just before a request arrives. With the
+// load report of a moment before, the request would start and run at the slow pace
+// until its caller's timeout. The gate must query the load first and move the request
+// to a sibling.
+func TestServerIsAskedBeforeRequestStarts(t *testing.T) {
+	s := newLoadServer(t)
+	e := newLoadEndpoint(t, s)
 	assert.Equal(t, attempt(e), hop.Ran)
 	for range 5 {
 		e.Learn(gate.Report{Host: "fast", Incarnation: 1, Sequence: uint64(time.Now().UnixNano()), Load: gate.Load{Slots: 8, Service: 100 * time.Millisecond, Slowdown: 1}})
 		s.slowdown.Store(100)
 		eventually(t, "the server is known to be fast", func() bool { return e.speed().Slowdown == 1 })
-		time.Sleep(freshFigure)
+		time.Sleep(maxLoadAge)
 		s.slowdown.Store(700)
 		assert.Equal(t, attempt(e), hop.Moved)
 	}
@@ -93,36 +95,36 @@
 	return e.gate.Speed(e.now())
 }
 
-// Ten requests come at the same moment. One question serves them all: more would take
-// connections of the server, which count.
-func TestOneQuestionServesAllThatWait(t *testing.T) {
-	s := newToldServer(t)
-	e := toldEndpoint(t, s)
+// Ten requests arrive at the same moment. One load query must serve them all: more
+// would use up the server's limited connections.
+func TestOneLoadQueryServesAllWaitingRequests(t *testing.T) {
+	s := newLoadServer(t)
+	e := newLoadEndpoint(t, s)
 	s.slowdown.Store(-1)
-	time.Sleep(freshFigure)
-	before := s.questions.Load()
+	time.Sleep(maxLoadAge)
+	before := s.queries.Load()
 	var group sync.WaitGroup
 	for range 10 {
-		group.Go(func() { e.refreshFigure(context.Background()) })
+		group.Go(func() { e.refreshLoad(context.Background()) })
 	}
 	group.Wait()
-	assert.Assert(t, s.questions.Load()-before <= 2, "%d questions", s.questions.Load()-before)
+	assert.Assert(t, s.queries.Load()-before <= 2, "%d load queries", s.queries.Load()-before)
 }
 
-// The server's question hangs while requests are served. The first request waits for a
-// short while, the next ones not at all, until the server tells its load again.
-func TestServerThatDoesNotTellHoldsUpNobodyTwice(t *testing.T) {
-	s := newToldServer(t)
-	e := toldEndpoint(t, s)
+// The server's load query hangs while requests are served. The first request waits a
+// short while, the next ones not at all, until the server reports its load again.
+func TestUnresponsiveServerHoldsUpNobodyTwice(t *testing.T) {
+	s := newLoadServer(t)
+	e := newLoadEndpoint(t, s)
 	s.slowdown.Store(-1)
-	time.Sleep(freshFigure)
-	e.refreshFigure(context.Background())
-	assert.Assert(t, e.mute.Load())
-	began := time.Now()
+	time.Sleep(maxLoadAge)
+	e.refreshLoad(context.Background())
+	assert.Assert(t, e.loadOverdue.Load())
+	startedAt := time.Now()
 	for range 20 {
-		e.refreshFigure(context.Background())
+		e.refreshLoad(context.Background())
 	}
-	assert.Assert(t, time.Since(began) < mostAsking, "%v", time.Since(began))
+	assert.Assert(t, time.Since(startedAt) < maxLoadWait, "%v", time.Since(startedAt))
 	s.slowdown.Store(100)
-	eventually(t, "it is asked again", func() bool { return !e.mute.Load() })
+	eventually(t, "the load is queried again", func() bool { return !e.loadOverdue.Load() })
 }
--- a/internal/endpoint/restart_test.go
+++ b/internal/endpoint/restart_test.go
@@ -11,16 +11,16 @@
 	"cactuspath/internal/hop"
 )
 
-// A backend server vanishes behind a cut with a request running and starts again. The
-// connection of its earlier start stays open and silent. The request's slot must be
-// free at once, its caller told that the answer is lost, and the gate must go on to
-// say that it ran: a payment is not repeated.
-func TestRestartEndsWhatRanAtTheEarlierStart(t *testing.T) {
-	d := startDark(t)
+// A backend server is cut off by a network partition while a request runs, and
+// restarts. The connection to its previous process stays open and silent. The request's
+// slot must be freed at once, its caller must learn that the response is lost, and the
+// gate must continue to report that the request ran, so that a payment is not repeated.
+func TestRestartEndsRequestsOfPreviousProcess(t *testing.T) {
+	s := startSilentServer(t)
 	e := New(Options{Host: "h", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, Heard: func(uint64) {}, Send: func(string, gate.Report) {},
 		Counters: NewCounters()}, gate.Config{Slots: 1, Queue: 4})
 	defer e.Close()
-	e.SetBackend(d.address)
+	e.SetBackend(s.address)
 	id := gate.AttemptID{Request: [2]uint64{1, 2}, Attempt: 1}
 	ended := make(chan hop.Reply, 1)
 	go func() {
@@ -29,12 +29,12 @@
 		ended <- reply
 	}()
 	eventually(t, "the request runs", func() bool { return e.Load().Running == 1 })
-	e.SetRestarted(d.address)
+	e.SetRestarted(s.address)
 	select {
 	case reply := <-ended:
 		assert.Equal(t, reply.Verdict, hop.Broke)
 	case <-time.After(5 * time.Second):
-		t.Fatal("the request still waits for a server that is gone")
+		t.Fatal("the request still waits for a server process that is gone")
 	}
 	assert.Equal(t, e.Load().Running, 0)
 	assert.Equal(t, e.Revoke(id, time.Second), gate.RevokeFinished)
--- a/internal/endpoint/silence_test.go
+++ b/internal/endpoint/silence_test.go
@@ -16,38 +16,38 @@
 	"cactuspath/internal/hop"
 )
 
-// dark is a backend server that can stop saying anything, as one whose host lost
-// its power: connections stay open and nothing comes.
-type dark struct {
+// silentServer is a backend server that can stop responding, like one whose host lost
+// its power: connections stay open and nothing arrives.
+type silentServer struct {
 	address string
 	silent  atomic.Bool
 }
 
-func startDark(t *testing.T) *dark {
+func startSilentServer(t *testing.T) *silentServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
-	d := &dark{address: l.Addr().String()}
+	s := &silentServer{address: l.Addr().String()}
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go d.serve(c)
+			go s.serve(c)
 		}
 	}()
-	return d
+	return s
 }
 
-func (d *dark) serve(c net.Conn) {
+func (s *silentServer) serve(c net.Conn) {
 	r := bufio.NewReader(c)
 	for {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		if d.silent.Load() || req.URL.Path == "/slow" {
+		if s.silent.Load() || req.URL.Path == "/slow" {
 			continue
 		}
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nX-Load: 0,0,4,100\r\nContent-Length: 0\r\n\r\n")
@@ -64,19 +64,19 @@
 	t.Fatal("not in time: ", what)
 }
 
-// The backend server goes dark under two requests. The caller of the one that may
-// be repeated must be told within a second to try another endpoint; both are
-// waited for here. New requests are refused as not run until the server answers
+// The backend server stops responding while two requests run. The caller of the
+// repeatable one must get a hint within a second to try another endpoint; both requests
+// keep waiting here. New requests are refused as not run until the server responds
 // again.
-func TestCallersOfASilentServerAreTold(t *testing.T) {
-	d := startDark(t)
+func TestCallersOfSilentServerGetHint(t *testing.T) {
+	s := startSilentServer(t)
 	dialect := &hop.Dialect{Load: "X-Load", ParseLoad: func(string) (hop.ServerLoad, bool) { return hop.ServerLoad{Slots: 4, Slowdown: 1}, true }}
 	e := New(Options{Host: "h", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, Heard: func(uint64) {}, Send: func(string, gate.Report) {},
 		Counters: NewCounters(), Dialect: dialect}, gate.Config{Slots: 4, Queue: 4})
 	defer e.Close()
 	e.SetHealthPath("/health")
-	e.SetBackend(d.address)
-	eventually(t, "the load is known", func() bool { return e.observed.Load() > 0 })
+	e.SetBackend(s.address)
+	eventually(t, "the load is known", func() bool { return e.loadReportedAt.Load() > 0 })
 
 	hints := make(chan string, 4)
 	attempt := func(n uint64, repeatable bool) chan hop.Reply {
@@ -91,22 +91,22 @@
 	}
 	read, payment := attempt(1, true), attempt(2, false)
 	time.Sleep(50 * time.Millisecond)
-	d.silent.Store(true)
+	s.silent.Store(true)
 	start := time.Now()
 	assert.Equal(t, <-hints, hop.AnyHost)
 	assert.Assert(t, time.Since(start) < 1500*time.Millisecond)
 	select {
 	case <-payment:
-		t.Fatal("a request that must not run twice was given up")
+		t.Fatal("a request that must not run twice was abandoned")
 	case <-read:
-		t.Fatal("a request was given up while the server may still answer")
+		t.Fatal("a request was abandoned while the server may still respond")
 	case <-hints:
-		t.Fatal("the caller of a request that must not run twice was told to try again")
+		t.Fatal("the caller of a request that must not run twice got a hint")
 	default:
 	}
 	refused := <-attempt(3, false)
 	assert.Equal(t, refused.Verdict, hop.Refused)
 	assert.Equal(t, refused.Reason, gate.Down)
-	d.silent.Store(false)
+	s.silent.Store(false)
 	eventually(t, "the server is back", func() bool { return !e.down.Load() })
 }
--- a/internal/endpoint/watch.go
+++ b/internal/endpoint/watch.go
@@ -17,31 +17,31 @@
 )
 
 const (
-	// loadInterval is how often the backend server's load is asked for when no
-	// answer has told it. Its speed changes by the half second; a third of that
-	// bounds the time that requests go to a server which just turned slow, at ten
-	// small requests a second that never leave the host.
-	loadInterval = 100 * time.Millisecond
-	// loadTimeout bounds one question, so that a server that hangs is not asked
-	// by ever more of them.
-	loadTimeout = 300 * time.Millisecond
-	// silentAfter is how long a backend server may tell nothing, neither to these
-	// questions nor to requests, before it counts as down. It answers them at once
-	// however busy it is; two unanswered ones are no accident.
-	silentAfter = 800 * time.Millisecond
+	// loadQueryInterval is how often the backend server's load is queried when no
+	// response has reported it. Server speed changes about every half second; the
+	// interval keeps the time that requests go to a server which just turned slow below
+	// a third of that, at ten small requests a second that never leave the host.
+	loadQueryInterval = 100 * time.Millisecond
+	// loadQueryTimeout bounds one load query, so that queries to a server that hangs do
+	// not accumulate.
+	loadQueryTimeout = 300 * time.Millisecond
+	// silenceTimeout is how long a backend server may send nothing, neither responses
+	// to load queries nor to requests, before it counts as down. It responds to load
+	// queries at once however busy it is; two queries without a response are no
+	// coincidence.
+	silenceTimeout = 800 * time.Millisecond
 )
 
-// SetHealthPath names the path where the backend server tells its load; empty
-// for none.
-func (e *Endpoint) SetHealthPath(path string) { e.health.Store(&path) }
+// SetHealthPath sets the path on which the backend server reports its load; empty for
+// none.
+func (e *Endpoint) SetHealthPath(path string) { e.healthPath.Store(&path) }
 
-// watchLoad asks for the load until ctx ends, while the backend server is one
-// that tells it.
+// watchLoad queries the load until ctx ends, if the backend server reports it.
 func (e *Endpoint) watchLoad(ctx context.Context) {
 	if e.options.Dialect.Load == "" {
 		return
 	}
-	ticker := time.NewTicker(loadInterval)
+	ticker := time.NewTicker(loadQueryInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -49,32 +49,32 @@
 			return
 		case <-ticker.C:
 		}
-		if e.evacuated.Load() && e.figureAge() < evacuatedInterval {
+		if e.evacuated.Load() && e.loadAge() < evacuatedQueryInterval {
 			continue
 		}
-		if e.figureAge() >= loadInterval || e.coldUnknown() {
-			e.askLoad()
+		if e.loadAge() >= loadQueryInterval || e.coldReportOverdue() {
+			e.startLoadQuery()
 		}
 	}
 }
 
-// coldInterval is how often a backend server that tells for how long it stays cold is
-// asked, since only answers about health tell it. A busy server gets a dozen requests
-// within it, half of what a cold one bears in a second.
-const coldInterval = 200 * time.Millisecond
+// coldQueryInterval is how often a backend server that reports how long it stays cold
+// is queried, since only health responses tell. A busy server gets a dozen requests in
+// that time, half of what a cold one can take in a second.
+const coldQueryInterval = 200 * time.Millisecond
 
-// evacuatedInterval is how often a backend server is asked that gets no requests: only
-// to see that it is there.
-const evacuatedInterval = time.Second
+// evacuatedQueryInterval is how often a backend server that gets no requests is
+// queried, only to see that it is up.
+const evacuatedQueryInterval = time.Second
 
-// coldUnknown tells whether a server that is known to tell for how long it stays cold
-// has not done so for a while.
-func (e *Endpoint) coldUnknown() bool {
-	heard := e.coldObserved.Load()
-	return heard > 0 && e.now()-time.Duration(heard) >= coldInterval
+// coldReportOverdue reports whether a server that is known to report how long it stays
+// cold has not done so for coldQueryInterval.
+func (e *Endpoint) coldReportOverdue() bool {
+	heard := e.coldReportedAt.Load()
+	return heard > 0 && e.now()-time.Duration(heard) >= coldQueryInterval
 }
 
-// observeCold takes in what an answer about health says of coldness.
+// observeCold passes the cold time reported in a health response to the gate.
 func (e *Endpoint) observeCold(h http.Header) {
 	dialect := e.options.Dialect
 	if dialect.Cold == "" || dialect.ParseCold == nil {
@@ -84,41 +84,41 @@
 	if !ok {
 		return
 	}
-	e.coldObserved.Store(int64(e.now()))
-	e.with(func(now time.Duration) []gate.Event { return e.gate.ObserveCold(now, left) })
+	e.coldReportedAt.Store(int64(e.now()))
+	e.runGate(func(now time.Duration) []gate.Event { return e.gate.ObserveCold(now, left) })
 }
 
-// figureAge is how long ago the backend server last told its load.
-func (e *Endpoint) figureAge() time.Duration { return e.now() - time.Duration(e.observed.Load()) }
+// loadAge returns the time since the backend server last reported its load.
+func (e *Endpoint) loadAge() time.Duration { return e.now() - time.Duration(e.loadReportedAt.Load()) }
 
 const (
-	// freshFigure is how old the backend server's figure may be when a request comes.
-	// A server whose speed changes by the half second turns slow within it for one
-	// start in 200; at 100 ms, one start in 40 was made on a server that had just
-	// turned slow, and reached its timeout where requests keep the pace of their start.
-	// Answers tell the figure as well, so that this asks 50 times a second at most.
-	freshFigure = 20 * time.Millisecond
-	// mostAsking bounds how long a request waits for the figure. It comes from the
-	// same host, at once however busy the server is.
-	mostAsking = 25 * time.Millisecond
+	// maxLoadAge is how old the load report may be when a request arrives. A server
+	// whose speed changes every half second turns slow within that time for one start
+	// in 200. At 100 ms, one start in 40 was made on a server that had just turned
+	// slow, and timed out where requests keep the pace at which they start. Responses
+	// report the load as well, so that at most 50 queries a second are sent.
+	maxLoadAge = 20 * time.Millisecond
+	// maxLoadWait bounds how long a request waits for a load report. The report comes
+	// from the same host, at once however busy the server is.
+	maxLoadWait = 25 * time.Millisecond
 )
 
-// refreshFigure has the backend server tell its load before a request is decided on,
-// if the last figure is not fresh. A server that did not answer is not waited for.
-func (e *Endpoint) refreshFigure(ctx context.Context) {
-	if e.options.Dialect.Load == "" || e.mute.Load() || e.figureAge() < freshFigure {
+// refreshLoad queries the load before a request is decided on, unless the last report
+// is fresh. A server that did not respond in time to the last query is not waited for.
+func (e *Endpoint) refreshLoad(ctx context.Context) {
+	if e.options.Dialect.Load == "" || e.loadOverdue.Load() || e.loadAge() < maxLoadAge {
 		return
 	}
-	told := e.askLoad()
-	if told == nil {
+	done := e.startLoadQuery()
+	if done == nil {
 		return
 	}
-	timer := time.NewTimer(mostAsking)
+	timer := time.NewTimer(maxLoadWait)
 	defer timer.Stop()
 	select {
-	case <-told:
+	case <-done:
 	case <-timer.C:
-		e.mute.Store(true)
+		e.loadOverdue.Store(true)
 	case <-ctx.Done():
 	}
 }
@@ -128,15 +128,16 @@
 	return errors.As(err, &n) && n.Timeout() || errors.Is(err, context.DeadlineExceeded)
 }
 
-// heard notes that the backend server said something.
-func (e *Endpoint) heard() { e.lastHeard.Store(int64(e.now())) }
+// markResponsive records that the backend server sent a response.
+func (e *Endpoint) markResponsive() { e.lastResponse.Store(int64(e.now())) }
 
-// noteSilence takes a backend server for down that has told nothing for long. The
-// callers of what runs there and may be repeated are told to try another endpoint
-// beside this one; the requests go on here, should the server still answer.
-func (e *Endpoint) noteSilence() {
-	silence := e.now() - time.Duration(e.lastHeard.Load())
-	if silence < silentAfter || e.down.Load() {
+// checkSilence marks the backend server as down if it has sent nothing for
+// silenceTimeout. The callers of repeatable requests that run there get a hint to try
+// another endpoint as well; the requests continue here, in case the server still
+// responds.
+func (e *Endpoint) checkSilence() {
+	silence := e.now() - time.Duration(e.lastResponse.Load())
+	if silence < silenceTimeout || e.down.Load() {
 		return
 	}
 	klog.InfoS("Backend server silent", "host", e.options.Host, "silence", silence)
@@ -150,46 +151,46 @@
 	go e.probe()
 }
 
-// askLoad asks the backend server for its load, by one question at a time. The
-// channel is closed when the question has ended; it is nil if there is nobody to ask.
-func (e *Endpoint) askLoad() <-chan struct{} {
-	path, pool := e.health.Load(), e.questions.Load()
+// startLoadQuery starts a load query unless one is in progress. The channel is closed
+// when the query ends; it is nil if there is no server to query.
+func (e *Endpoint) startLoadQuery() <-chan struct{} {
+	path, pool := e.healthPath.Load(), e.healthPool.Load()
 	if path == nil || *path == "" || pool == nil || e.down.Load() {
 		return nil
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.asking == nil {
+	if e.loadQuery == nil {
 		ended := make(chan struct{})
-		e.asking = ended
+		e.loadQuery = ended
 		go func() {
-			e.question(pool, *path)
+			e.queryLoad(pool, *path)
 			e.mu.Lock()
-			e.asking = nil
+			e.loadQuery = nil
 			e.mu.Unlock()
 			close(ended)
 		}()
 	}
-	return e.asking
+	return e.loadQuery
 }
 
-// question is one question for the load.
-func (e *Endpoint) question(pool *hop.Pool, path string) {
-	ctx, cancel := context.WithTimeout(context.Background(), loadTimeout)
+// queryLoad sends one load query.
+func (e *Endpoint) queryLoad(pool *hop.Pool, path string) {
+	ctx, cancel := context.WithTimeout(context.Background(), loadQueryTimeout)
 	defer cancel()
 	e.options.Counters.Probes.Add(1)
-	resp, err := pool.Do(ctx, &hop.Outgoing{Method: http.MethodGet, URI: path, Host: pool.Address(), Header: http.Header{}, Deadline: time.Now().Add(loadTimeout)})
+	resp, err := pool.Do(ctx, &hop.Outgoing{Method: http.MethodGet, URI: path, Host: pool.Address(), Header: http.Header{}, Deadline: time.Now().Add(loadQueryTimeout)})
 	if err != nil {
-		// A broken connection is found out by requests, and a missing figure only
-		// ages. Silence is different: requests would wait in it to their deadlines.
+		// Requests detect a broken connection themselves, and a missing report only
+		// ages. Silence differs: requests would wait until their deadlines.
 		if isTimeout(err) {
-			e.noteSilence()
+			e.checkSilence()
 		}
 		return
 	}
-	e.mute.Store(false)
-	e.heard()
-	e.observe(resp.Header)
+	e.loadOverdue.Store(false)
+	e.markResponsive()
+	e.observeLoad(resp.Header)
 	e.observeCold(resp.Header)
 	_, _ = io.Copy(io.Discard, resp.Body)
 	_ = resp.Body.Close()
