--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -30,22 +30,22 @@
 	ErrLocked = errors.New("another process uses this data folder; stop that process first")
 )
 
-// Identity tells which member a data folder belongs to. A folder that was lost
-// gets another id, so that its replica never votes as its former self.
+// Identity identifies the member that a data folder belongs to. A replica that lost its folder gets
+// a new ID, so that it never votes under its previous identity.
 type Identity struct {
 	MemberID uint64            `json:"memberId"`
 	Name     string            `json:"name"`
 	Founders map[string]Member `json:"founders,omitempty"`
 }
 
-// Member is a founding member.
+// Member is a founding member of the cluster.
 type Member struct {
 	ID      uint64 `json:"id"`
 	Address string `json:"address"`
 }
 
-// Membership renders the founders as the first membership; nil for a replica
-// that waits to be admitted.
+// Membership returns the founders as the initial membership, or nil for a replica that waits to be
+// admitted.
 func (i Identity) Membership() *apiv1.Membership {
 	if len(i.Founders) == 0 {
 		return nil
@@ -57,13 +57,13 @@
 	return m
 }
 
-// HasIdentity tells whether the folder belongs to a replica.
+// HasIdentity reports whether the folder belongs to a replica.
 func HasIdentity(folder string) bool {
 	_, err := os.Stat(filepath.Join(folder, identityName))
 	return err == nil
 }
 
-// WriteIdentity claims an empty folder for a member.
+// WriteIdentity assigns an unused folder to a member.
 func WriteIdentity(folder string, id Identity) error {
 	if HasIdentity(folder) {
 		return errors.Newf("%s already holds a replica; use another folder", folder)
@@ -78,27 +78,28 @@
 	return WriteSynced(folder, identityName, data)
 }
 
-// Log is the open data folder. It is not safe for concurrent use.
+// Log is an open data folder. It is not safe for concurrent use.
 type Log struct {
 	folder string
 	lock   *os.File
 	file   *os.File
-	// buffer holds records that are not in the file yet. The first taken bytes of
-	// it were flushed without a sync.
-	buffer []byte
-	taken  int
-	size   int64
-	// good is the length up to which the file holds whole records.
-	good int64
-	// TornBytes is how much of a torn tail was removed when it was opened.
+	// buffer holds records that are not in the file yet. Its first flushed bytes were passed to
+	// Flush without a sync.
+	buffer  []byte
+	flushed int
+	size    int64
+	// syncedSize is the length of the file as of the last sync, up to which it holds only complete
+	// records.
+	syncedSize int64
+	// TornBytes is the length of the torn tail that was removed on opening.
 	TornBytes int64
 }
 
-// Open locks the folder and reads what it holds.
+// Open locks the folder and reads its contents.
 func Open(folder string) (*Log, Identity, consensus.Restored, error) {
 	l := &Log{folder: folder}
 	var id Identity
-	if err := l.acquire(); err != nil {
+	if err := l.lockFolder(); err != nil {
 		return nil, id, consensus.Restored{}, err
 	}
 	id, restored, err := l.load()
@@ -109,7 +110,7 @@
 	return l, id, restored, nil
 }
 
-func (l *Log) acquire() error {
+func (l *Log) lockFolder() error {
 	f, err := os.OpenFile(filepath.Join(l.folder, lockName), os.O_CREATE|os.O_RDWR, filePerm)
 	if errors.Is(err, fs.ErrNotExist) {
 		return ErrNoIdentity
@@ -154,8 +155,8 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "read the snapshot")
 	}
-	// The snapshot came into place by a rename after its sync, so that it is
-	// never torn by a crash: any mismatch is damage.
+	// The snapshot is renamed into place after its sync, so a crash cannot tear it: any mismatch is
+	// damage.
 	_, payload, _, err := readRecord(data)
 	if err != nil {
 		return nil, &DamageError{File: path, Reason: err.Error()}
@@ -172,14 +173,14 @@
 	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		if restored.Snapshot != nil {
-			return &DamageError{File: path, Reason: "the file is missing beside a snapshot"}
+			return &DamageError{File: path, Reason: "the log file is missing although a snapshot exists"}
 		}
 		return l.rewrite(nil, nil, nil)
 	}
 	if err != nil {
 		return errors.Wrap(err, "read the log")
 	}
-	r := replayed{}
+	r := logReplay{}
 	offset := 0
 	for offset < len(data) {
 		kind, payload, size, err := readRecord(data[offset:])
@@ -187,7 +188,7 @@
 			break
 		}
 		if err == nil {
-			err = r.take(kind, payload)
+			err = r.apply(kind, payload)
 		}
 		if err != nil {
 			return &DamageError{File: path, Offset: int64(offset), Reason: err.Error()}
@@ -195,70 +196,70 @@
 		offset += size
 	}
 	l.TornBytes = int64(len(data) - offset)
-	restored.HardState = r.hard
-	restored.Entries = r.after(restored.Snapshot)
-	return l.openAt(path, int64(offset))
+	restored.HardState = r.hardState
+	restored.Entries = r.entriesAfter(restored.Snapshot)
+	return l.openForAppend(path, int64(offset))
 }
 
-// openAt cuts a torn tail off and positions the file for appending.
-func (l *Log) openAt(path string, size int64) error {
+// openForAppend truncates a torn tail and positions the file for appending.
+func (l *Log) openForAppend(path string, size int64) error {
 	f, err := os.OpenFile(path, os.O_RDWR, filePerm)
 	if err != nil {
 		return errors.Wrap(err, "open the log")
 	}
 	if err := f.Truncate(size); err != nil {
-		return errors.Wrap(err, "cut the log's torn tail")
+		return errors.Wrap(err, "truncate the log's torn tail")
 	}
 	if err := f.Sync(); err != nil {
 		return errors.Wrap(err, "sync the log")
 	}
 	if _, err := f.Seek(size, 0); err != nil {
-		return errors.Wrap(err, "position the log")
+		return errors.Wrap(err, "seek to the end of the log")
 	}
-	l.file, l.size, l.good = f, size, size
+	l.file, l.size, l.syncedSize = f, size, size
 	return nil
 }
 
-// replayed gathers the records of a log file.
-type replayed struct {
-	base    *apiv1.LogEntry
-	entries []*apiv1.LogEntry
-	hard    *apiv1.HardState
+// logReplay collects the records of a log file.
+type logReplay struct {
+	base      *apiv1.LogEntry
+	entries   []*apiv1.LogEntry
+	hardState *apiv1.HardState
 }
 
-func (r *replayed) take(kind recordKind, payload []byte) error {
+func (r *logReplay) apply(kind recordKind, payload []byte) error {
 	switch kind {
 	case kindBase:
 		r.base = &apiv1.LogEntry{}
 		return proto.Unmarshal(payload, r.base)
 	case kindHardState:
-		r.hard = &apiv1.HardState{}
-		return proto.Unmarshal(payload, r.hard)
+		r.hardState = &apiv1.HardState{}
+		return proto.Unmarshal(payload, r.hardState)
 	case kindEntry:
 		e := &apiv1.LogEntry{}
 		if err := proto.Unmarshal(payload, e); err != nil {
 			return err
 		}
-		return r.takeEntry(e)
+		return r.applyEntry(e)
 	}
 	return errors.Newf("unknown record kind %d", kind)
 }
 
-// takeEntry appends an entry. One whose index is held already replaces it and
-// all that follow, as the leader of a later term had them overwritten.
-func (r *replayed) takeEntry(e *apiv1.LogEntry) error {
+// applyEntry appends an entry. An entry whose index is already present replaces that entry and all
+// that follow it, because a leader of a later term overwrote them.
+func (r *logReplay) applyEntry(e *apiv1.LogEntry) error {
 	next := r.base.GetIndex() + uint64(len(r.entries)) + 1
 	if e.Index > next || e.Index <= r.base.GetIndex() {
-		return errors.Newf("entry %d follows entry %d", e.Index, next-1)
+		return errors.Newf("entry %d cannot follow entry %d", e.Index, next-1)
 	}
 	r.entries = append(r.entries[:e.Index-r.base.GetIndex()-1], e)
 	return nil
 }
 
-// after returns the entries that continue the snapshot. A crash between saving
-// a received snapshot and rewriting the log leaves a log that may not continue
-// it; such entries are dropped, since the snapshot supersedes them.
-func (r *replayed) after(s *apiv1.Snapshot) []*apiv1.LogEntry {
+// entriesAfter returns the entries that continue the snapshot. After a crash between saving a
+// received snapshot and rewriting the log, the log may not continue the snapshot; its entries are
+// then dropped, since the snapshot supersedes them.
+func (r *logReplay) entriesAfter(s *apiv1.Snapshot) []*apiv1.LogEntry {
 	if s == nil || r.base.GetIndex() == s.Index && r.base.GetTerm() == s.Term {
 		return r.entries
 	}
@@ -270,20 +271,20 @@
 	return nil
 }
 
-// Append buffers entries and, if not nil, the hard state.
-func (l *Log) Append(entries []*apiv1.LogEntry, hard *apiv1.HardState) error {
+// Append buffers entries and, unless it is nil, the hard state.
+func (l *Log) Append(entries []*apiv1.LogEntry, hardState *apiv1.HardState) error {
 	for _, e := range entries {
-		if err := l.add(kindEntry, e); err != nil {
+		if err := l.bufferRecord(kindEntry, e); err != nil {
 			return err
 		}
 	}
-	if hard != nil {
-		return l.add(kindHardState, hard)
+	if hardState != nil {
+		return l.bufferRecord(kindHardState, hardState)
 	}
 	return nil
 }
 
-func (l *Log) add(kind recordKind, m proto.Message) error {
+func (l *Log) bufferRecord(kind recordKind, m proto.Message) error {
 	payload, err := proto.Marshal(m)
 	if err != nil {
 		return err
@@ -292,17 +293,16 @@
 	return nil
 }
 
-// Flush with sync writes what is buffered and waits until it is on disk. Without,
-// it leaves the records in memory until the next one that syncs: they are not
-// needed after a crash.
+// Flush writes the buffered records and waits until they are on disk if sync is set. Otherwise, it
+// leaves them in memory until the next Flush with sync, because they are not needed after a crash.
 //
-// So the file never holds more than one write that no sync covers. A loss of power
-// keeps or loses each unsynced write by itself. Of two, the first could be lost
-// and the second kept: a hole with records behind it, which is not to be told from
-// damage to synced data, so that the replica would refuse to start for good.
+// Thus, the file never holds more than one unsynced write. A power failure preserves or loses each
+// unsynced write independently. Of two, it could lose the first and preserve the second, which
+// leaves a gap before valid records. This cannot be distinguished from damage to synced data, so
+// the replica would refuse to start permanently.
 func (l *Log) Flush(sync bool) error {
 	if !sync {
-		l.taken = len(l.buffer)
+		l.flushed = len(l.buffer)
 		return nil
 	}
 	n, err := l.file.Write(l.buffer)
@@ -313,30 +313,30 @@
 	if err := l.file.Sync(); err != nil {
 		return errors.Wrap(err, "sync the log; replace the disk")
 	}
-	l.buffer, l.taken = l.buffer[:0], 0
-	l.good = l.size
+	l.buffer, l.flushed = l.buffer[:0], 0
+	l.syncedSize = l.size
 	return nil
 }
 
-// Repair takes back what a failed Flush left behind, so that the same records
-// can be written again. It fails while the disk does.
+// Repair removes what a failed Flush left in the file and the buffer, so that the same records can
+// be written again. It returns an error as long as the disk fails.
 func (l *Log) Repair() error {
-	l.buffer = l.buffer[:l.taken]
-	if err := l.file.Truncate(l.good); err != nil {
-		return errors.Wrap(err, "cut the log back after a failed write")
+	l.buffer = l.buffer[:l.flushed]
+	if err := l.file.Truncate(l.syncedSize); err != nil {
+		return errors.Wrap(err, "truncate the log after a failed write")
 	}
-	if _, err := l.file.Seek(l.good, 0); err != nil {
-		return errors.Wrap(err, "position the log")
+	if _, err := l.file.Seek(l.syncedSize, 0); err != nil {
+		return errors.Wrap(err, "seek to the end of the log")
 	}
-	l.size = l.good
+	l.size = l.syncedSize
 	return nil
 }
 
-// Size is the log file's length in bytes.
+// Size returns the length of the log file in bytes.
 func (l *Log) Size() int64 { return l.size }
 
-// Compact saves a snapshot and rewrites the log to what follows it.
-func (l *Log) Compact(s *apiv1.Snapshot, entries []*apiv1.LogEntry, hard *apiv1.HardState) error {
+// Compact saves a snapshot and rewrites the log to hold only the entries that follow it.
+func (l *Log) Compact(s *apiv1.Snapshot, entries []*apiv1.LogEntry, hardState *apiv1.HardState) error {
 	payload, err := proto.Marshal(s)
 	if err != nil {
 		return err
@@ -344,12 +344,12 @@
 	if err := WriteSynced(l.folder, snapshotName, appendRecord(nil, kindBase, payload)); err != nil {
 		return err
 	}
-	return l.rewrite(s, entries, hard)
+	return l.rewrite(s, entries, hardState)
 }
 
-// rewrite replaces the log file. The snapshot it continues is on disk already,
-// so that a crash at any point leaves a log and a snapshot that fit.
-func (l *Log) rewrite(s *apiv1.Snapshot, entries []*apiv1.LogEntry, hard *apiv1.HardState) error {
+// rewrite replaces the log file. The snapshot that it continues is already on disk, so a crash at
+// any point leaves a consistent log and snapshot.
+func (l *Log) rewrite(s *apiv1.Snapshot, entries []*apiv1.LogEntry, hardState *apiv1.HardState) error {
 	var data []byte
 	base, err := proto.Marshal(&apiv1.LogEntry{Index: s.GetIndex(), Term: s.GetTerm()})
 	if err != nil {
@@ -363,8 +363,8 @@
 		}
 		data = appendRecord(data, kindEntry, payload)
 	}
-	if hard != nil {
-		payload, err := proto.Marshal(hard)
+	if hardState != nil {
+		payload, err := proto.Marshal(hardState)
 		if err != nil {
 			return err
 		}
@@ -373,15 +373,15 @@
 	if err := WriteSynced(l.folder, logName, data); err != nil {
 		return err
 	}
-	// What waited in memory is older than the state that was just written.
-	l.buffer, l.taken = l.buffer[:0], 0
+	// The buffered records are older than the state that was just written.
+	l.buffer, l.flushed = l.buffer[:0], 0
 	if l.file != nil {
 		_ = l.file.Close()
 	}
-	return l.openAt(filepath.Join(l.folder, logName), int64(len(data)))
+	return l.openForAppend(filepath.Join(l.folder, logName), int64(len(data)))
 }
 
-// Close releases the folder.
+// Close closes the log file and unlocks the folder.
 func (l *Log) Close() error {
 	if l.file != nil {
 		_ = l.file.Close()
@@ -389,7 +389,7 @@
 	return l.lock.Close()
 }
 
-// WriteSynced replaces a file whole: a reader finds the old or the new one.
+// WriteSynced replaces a file atomically: a reader sees either the old or the new contents.
 func WriteSynced(folder, name string, data []byte) error {
 	path := filepath.Join(folder, name)
 	f, err := os.OpenFile(path+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, filePerm)
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -15,8 +15,8 @@
 	return &apiv1.LogEntry{Index: index, Term: term, Data: []byte(text)}
 }
 
-// folderWith is a data folder that holds the entries, synced.
-func folderWith(t *testing.T, entries ...*apiv1.LogEntry) string {
+// newDataFolder returns a data folder with synced entries.
+func newDataFolder(t *testing.T, entries ...*apiv1.LogEntry) string {
 	t.Helper()
 	folder := t.TempDir()
 	assert.NilError(t, WriteIdentity(folder, Identity{MemberID: 7, Name: "a"}))
@@ -39,19 +39,20 @@
 	return restored.Entries
 }
 
-func TestWhatWasSyncedIsRestored(t *testing.T) {
-	folder := folderWith(t, entry(1, 1, "one"), entry(2, 1, "two"), entry(2, 2, "two again"), entry(3, 2, "three"))
+func TestSyncedEntriesAreRestored(t *testing.T) {
+	folder := newDataFolder(t, entry(1, 1, "one"), entry(2, 1, "two"), entry(2, 2, "two again"), entry(3, 2, "three"))
 	entries := reopen(t, folder)
 	assert.Equal(t, len(entries), 3)
 	assert.Equal(t, string(entries[1].Data), "two again")
 }
 
-// Power fails while the last record is being written: the file ends at any byte
-// of it. The replica must start with all records before, and go on from there.
+// Guards against a replica that cannot start after a power failure during a write. The file may end
+// at any byte of the last record; all records before it must be restored, and appending must
+// continue after them.
 func TestTornTailIsCutAtEveryByte(t *testing.T) {
-	folder := folderWith(t, entry(1, 1, "one"), entry(2, 1, "two"))
+	folder := newDataFolder(t, entry(1, 1, "one"), entry(2, 1, "two"))
 	file := filepath.Join(folder, logName)
-	whole, err := os.ReadFile(file)
+	intact, err := os.ReadFile(file)
 	assert.NilError(t, err)
 	l, _, _, err := Open(folder)
 	assert.NilError(t, err)
@@ -60,9 +61,9 @@
 	assert.NilError(t, l.Close())
 	longer, err := os.ReadFile(file)
 	assert.NilError(t, err)
-	for size := len(whole); size < len(longer); size++ {
+	for size := len(intact); size < len(longer); size++ {
 		assert.NilError(t, os.WriteFile(file, longer[:size], filePerm))
-		assert.Equal(t, len(reopen(t, folder)), 2, "cut at %d", size)
+		assert.Equal(t, len(reopen(t, folder)), 2, "truncated at %d", size)
 		zeros := append(append([]byte(nil), longer[:size]...), make([]byte, 600)...)
 		assert.NilError(t, os.WriteFile(file, zeros, filePerm))
 		assert.Equal(t, len(reopen(t, folder)), 2, "zeros from %d", size)
@@ -71,16 +72,16 @@
 	assert.Equal(t, len(reopen(t, folder)), 3)
 }
 
-// Any single bit of a synced record flips. The replica must refuse to start: it
-// might have forgotten a vote or an acknowledged change.
+// Guards against starting on corrupted data, which may have lost a vote or an acknowledged change.
+// A flip of any single bit of a synced record must be detected.
 func TestEveryFlippedBitIsDamage(t *testing.T) {
-	folder := folderWith(t, entry(1, 1, "one"), entry(2, 1, "two"))
+	folder := newDataFolder(t, entry(1, 1, "one"), entry(2, 1, "two"))
 	file := filepath.Join(folder, logName)
-	good, err := os.ReadFile(file)
+	valid, err := os.ReadFile(file)
 	assert.NilError(t, err)
-	for i := range good {
+	for i := range valid {
 		for bit := range 8 {
-			bad := append([]byte(nil), good...)
+			bad := append([]byte(nil), valid...)
 			bad[i] ^= 1 << bit
 			assert.NilError(t, os.WriteFile(file, bad, filePerm))
 			_, _, _, err := Open(folder)
@@ -90,10 +91,10 @@
 	}
 }
 
-// A crash strikes between saving a received snapshot and rewriting the log. The
-// old log may not continue the snapshot; entries that do not must be dropped.
+// Guards against restoring entries that do not continue the snapshot, as left by a crash between
+// saving a received snapshot and rewriting the log.
 func TestCrashBetweenSnapshotAndLog(t *testing.T) {
-	folder := folderWith(t, entry(1, 1, "one"), entry(2, 1, "two"), entry(3, 1, "three"))
+	folder := newDataFolder(t, entry(1, 1, "one"), entry(2, 1, "two"), entry(3, 1, "three"))
 	old, err := os.ReadFile(filepath.Join(folder, logName))
 	assert.NilError(t, err)
 	for _, c := range []struct {
@@ -101,9 +102,9 @@
 		snap *apiv1.Snapshot
 		want int
 	}{
-		{"continues it", &apiv1.Snapshot{Index: 2, Term: 1}, 1},
-		{"does not", &apiv1.Snapshot{Index: 2, Term: 9}, 0},
-		{"is behind it", &apiv1.Snapshot{Index: 40, Term: 9}, 0},
+		{"log continues the snapshot", &apiv1.Snapshot{Index: 2, Term: 1}, 1},
+		{"log does not continue the snapshot", &apiv1.Snapshot{Index: 2, Term: 9}, 0},
+		{"log ends before the snapshot", &apiv1.Snapshot{Index: 40, Term: 9}, 0},
 	} {
 		t.Run(c.desc, func(t *testing.T) {
 			l, _, _, err := Open(folder)
@@ -120,9 +121,9 @@
 	}
 }
 
-// Two processes are started on one data folder. The second must not open it.
+// Guards against two processes using one data folder.
 func TestFolderIsLocked(t *testing.T) {
-	folder := folderWith(t)
+	folder := newDataFolder(t)
 	l, _, _, err := Open(folder)
 	assert.NilError(t, err)
 	_, _, _, err = Open(folder)
@@ -130,15 +131,16 @@
 	assert.NilError(t, l.Close())
 }
 
-// A folder is claimed once. Claiming it again could hide what it held.
-func TestFolderIsClaimedOnce(t *testing.T) {
-	folder := folderWith(t)
+// Guards against overwriting the identity of a folder in use, which could make its contents
+// unusable.
+func TestWriteIdentityRefusesUsedFolder(t *testing.T) {
+	folder := newDataFolder(t)
 	assert.ErrorContains(t, WriteIdentity(folder, Identity{MemberID: 9}), "already holds a replica")
 }
 
-// The disk refuses a write half-way. What it left is cut off, the same entries
-// are written again once the disk takes them, and a restart finds each once.
-func TestRepairTakesBackAHalfWrittenRecord(t *testing.T) {
+// Guards against a partial record after a failed write. Repair must remove it; after the same
+// entries are written again, a restart must find each once.
+func TestRepairRemovesPartialRecord(t *testing.T) {
 	folder := t.TempDir()
 	assert.NilError(t, WriteIdentity(folder, Identity{MemberID: 1, Name: "a"}))
 	l, _, _, err := Open(folder)
@@ -146,14 +148,14 @@
 	entry := func(i uint64) *apiv1.LogEntry { return &apiv1.LogEntry{Term: 1, Index: i, Data: []byte("change")} }
 	assert.NilError(t, l.Append([]*apiv1.LogEntry{entry(1)}, nil))
 	assert.NilError(t, l.Flush(true))
-	whole := l.file
+	writable := l.file
 	assert.NilError(t, l.Append([]*apiv1.LogEntry{entry(2)}, nil))
-	_, err = whole.Write(l.buffer[:len(l.buffer)/2])
+	_, err = writable.Write(l.buffer[:len(l.buffer)/2])
 	assert.NilError(t, err)
-	l.file, err = os.Open(whole.Name())
+	l.file, err = os.Open(writable.Name())
 	assert.NilError(t, err)
-	assert.Assert(t, l.Flush(true) != nil, "a file that is open for reading only took a write")
-	l.file = whole
+	assert.Assert(t, l.Flush(true) != nil, "a write to a read-only file succeeded")
+	l.file = writable
 	assert.NilError(t, l.Repair())
 	assert.NilError(t, l.Append([]*apiv1.LogEntry{entry(2)}, nil))
 	assert.NilError(t, l.Flush(true))
@@ -165,11 +167,10 @@
 	assert.Equal(t, l.TornBytes, int64(0))
 }
 
-// A replica does not start any more after a loss of power: "the log is damaged".
-// It had written two commit positions, each without a sync; the disk lost the
-// first write and kept the second, which left a hole with a whole record behind
-// it. The log then looks as if synced data had changed.
-func TestLostWriteBeforeAKeptOneIsNoDamage(t *testing.T) {
+// Guards against taking a power failure for damage, after which the replica would not start. With
+// two commit positions written without a sync, the disk could lose the first write and preserve the
+// second. The gap before a valid record would look like a change to synced data.
+func TestLostWriteBeforePersistedWriteIsNotDamage(t *testing.T) {
 	folder := t.TempDir()
 	assert.NilError(t, WriteIdentity(folder, Identity{MemberID: 1, Name: "a"}))
 	l, _, _, err := Open(folder)
@@ -200,9 +201,9 @@
 	assert.Equal(t, len(restored.Entries), 1)
 }
 
-// Records that were flushed without a sync outlast a failed write behind them: the
-// replica that repairs its log writes only the failed ones again.
-func TestRepairKeepsWhatWasFlushedBefore(t *testing.T) {
+// Guards against Repair discarding records that were flushed without a sync before the failed
+// write. Only the failed records are written again.
+func TestRepairKeepsEarlierFlushedRecords(t *testing.T) {
 	folder := t.TempDir()
 	assert.NilError(t, WriteIdentity(folder, Identity{MemberID: 1, Name: "a"}))
 	l, _, _, err := Open(folder)
@@ -211,11 +212,11 @@
 	assert.NilError(t, l.Flush(false))
 	entry := &apiv1.LogEntry{Term: 3, Index: 1, Data: []byte("change")}
 	assert.NilError(t, l.Append([]*apiv1.LogEntry{entry}, nil))
-	whole := l.file
-	l.file, err = os.Open(whole.Name())
+	writable := l.file
+	l.file, err = os.Open(writable.Name())
 	assert.NilError(t, err)
-	assert.Assert(t, l.Flush(true) != nil, "a file that is open for reading only took a write")
-	l.file = whole
+	assert.Assert(t, l.Flush(true) != nil, "a write to a read-only file succeeded")
+	l.file = writable
 	assert.NilError(t, l.Repair())
 	assert.NilError(t, l.Append([]*apiv1.LogEntry{entry}, nil))
 	assert.NilError(t, l.Flush(true))
