--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,5 +1,5 @@
-// Package transport sets up the HTTP clients and listeners that our processes
-// use towards each other, with or without TLS.
+// Package transport provides the HTTP clients and listeners for traffic between the processes of a
+// deployment, with or without TLS.
 package transport
 
 import (
@@ -18,25 +18,25 @@
 	"k8s.io/klog/v2"
 )
 
-// TLSFiles names the files of a process's certificate and of the authority
-// that signs its peers'. The zero value means plain text.
+// TLSFiles names the files of a process's certificate and key, and of the authority that signs its
+// peers' certificates. The zero value means plain text.
 type TLSFiles struct {
 	Certificate, Key, Authority string
 }
 
-// Enabled tells whether TLS is configured.
+// Enabled reports whether TLS is configured.
 func (f TLSFiles) Enabled() bool { return f.Certificate != "" }
 
-// reloadEvery is how often changed files are noticed.
-const reloadEvery = 10 * time.Second
+// reloadInterval is the minimum time between two checks for changed files.
+const reloadInterval = 10 * time.Second
 
-// Security holds a process's certificate and reloads it when its files change,
-// so that a renewed certificate needs no restart. Connections that are open go on.
-// Safe for concurrent use.
+// Security holds a process's certificate and reloads it when its file changes, so that a renewed
+// certificate takes effect without a restart. Open connections are not affected. Security is safe
+// for concurrent use. A nil Security means plain text.
 type Security struct {
 	files TLSFiles
-	// every is reloadEvery, but for tests.
-	every time.Duration
+	// interval is reloadInterval, except in tests.
+	interval time.Duration
 
 	mu        sync.Mutex
 	checked   time.Time
@@ -45,12 +45,12 @@
 	authority *x509.CertPool
 }
 
-// NewSecurity loads the files; nil when TLS is off.
+// NewSecurity loads the files. It returns nil if TLS is not configured.
 func NewSecurity(files TLSFiles) (*Security, error) {
 	if !files.Enabled() {
 		return nil, nil
 	}
-	s := &Security{files: files, every: reloadEvery}
+	s := &Security{files: files, interval: reloadInterval}
 	if err := s.load(); err != nil {
 		return nil, err
 	}
@@ -58,7 +58,7 @@
 }
 
 func (s *Security) load() error {
-	pair, err := tls.LoadX509KeyPair(s.files.Certificate, s.files.Key)
+	keyPair, err := tls.LoadX509KeyPair(s.files.Certificate, s.files.Key)
 	if err != nil {
 		return errors.Wrap(err, "load the certificate; check tls.certificate and tls.key in the settings")
 	}
@@ -70,22 +70,22 @@
 	if !pool.AppendCertsFromPEM(pem) {
 		return errors.Newf("%s holds no certificate; check tls.authority in the settings", s.files.Authority)
 	}
-	s.current, s.authority = &pair, pool
+	s.current, s.authority = &keyPair, pool
 	return nil
 }
 
-func (s *Security) certificate() (*tls.Certificate, *x509.CertPool) {
+func (s *Security) currentCertificate() (*tls.Certificate, *x509.CertPool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Since(s.checked) > s.every {
+	if time.Since(s.checked) > s.interval {
 		s.checked = time.Now()
 		s.reload()
 	}
 	return s.current, s.authority
 }
 
-// reload takes in a certificate that was renewed. A half-written pair keeps the one
-// in use; the next check tries again.
+// reload loads a renewed certificate. If the files cannot be loaded, for example because they are
+// only partly written, the current certificate stays in use until the next check.
 func (s *Security) reload() {
 	info, err := os.Stat(s.files.Certificate)
 	if err == nil {
@@ -107,17 +107,17 @@
 
 func (s *Security) serverConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		pair, pool := s.certificate()
-		return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*pair}, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: pool}, nil
+		keyPair, pool := s.currentCertificate()
+		return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*keyPair}, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: pool}, nil
 	}}
 }
 
 func (s *Security) clientConfig() *tls.Config {
-	pair, pool := s.certificate()
-	return &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: pool, Certificates: []tls.Certificate{*pair}}
+	keyPair, pool := s.currentCertificate()
+	return &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: pool, Certificates: []tls.Certificate{*keyPair}}
 }
 
-// Listen opens a TCP listener, with TLS when s is not nil.
+// Listen opens a TCP listener, with TLS unless s is nil.
 func (s *Security) Listen(address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -126,7 +126,7 @@
 	return s.Wrap(l), nil
 }
 
-// Wrap adds TLS to a listener when s is not nil.
+// Wrap adds TLS to a listener unless s is nil.
 func (s *Security) Wrap(l net.Listener) net.Listener {
 	if s == nil {
 		return l
@@ -134,8 +134,7 @@
 	return tls.NewListener(l, s.serverConfig())
 }
 
-// WrapClient turns a connection that was dialed to address into a TLS
-// one when s is not nil.
+// WrapClient adds TLS to a client connection to address unless s is nil.
 func (s *Security) WrapClient(conn net.Conn, address string) net.Conn {
 	if s == nil {
 		return conn
@@ -146,39 +145,39 @@
 }
 
 const (
-	// dialTimeout is ten round trips between far regions, and well below the second
-	// after which TCP sends a lost first packet again: dialling anew is sooner.
-	dialTimeout     = 300 * time.Millisecond
-	idleConnTimeout = 90 * time.Second
-	idlePerHost     = 4
+	// dialTimeout is ten round trips between distant regions. It is well below the one second after
+	// which TCP retransmits a lost SYN, because dialing again is faster.
+	dialTimeout         = 300 * time.Millisecond
+	idleConnTimeout     = 90 * time.Second
+	maxIdleConnsPerHost = 4
 )
 
-// Traffic counts the bytes of a client's connections, TLS and HTTP included.
+// Traffic counts the bytes of a client's connections, including the overhead of TLS and HTTP.
 type Traffic struct {
 	In, Out expvar.Int
 }
 
-// counted is a connection whose bytes are counted.
-type counted struct {
+// countingConn is a connection whose bytes are counted in traffic.
+type countingConn struct {
 	net.Conn
 	traffic *Traffic
 }
 
-// Read reads and counts.
-func (c counted) Read(p []byte) (int, error) {
+// Read reads from the connection and counts the bytes.
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.traffic.In.Add(int64(n))
 	return n, err
 }
 
-// Write writes and counts.
-func (c counted) Write(p []byte) (int, error) {
+// Write writes to the connection and counts the bytes.
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.traffic.Out.Add(int64(n))
 	return n, err
 }
 
-// ControlClient returns the HTTP client for control traffic, counted in traffic.
+// ControlClient returns an HTTP client for control traffic whose bytes are counted in traffic.
 func (s *Security) ControlClient(traffic *Traffic) *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	t := &http.Transport{
@@ -187,15 +186,15 @@
 			if err != nil {
 				return nil, err
 			}
-			return counted{conn, traffic}, nil
+			return countingConn{conn, traffic}, nil
 		},
-		MaxIdleConnsPerHost: idlePerHost,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
 	if s != nil {
-		// Each connection takes the certificate of its moment: a client that kept the
-		// one of its start could reach nobody any more once that was renewed.
+		// Each connection uses the certificate that is current when it is opened. A client that
+		// kept its initial certificate could no longer connect to any peer after a renewal.
 		t.DialTLSContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := t.DialContext(ctx, network, address)
 			if err != nil {
@@ -204,23 +203,23 @@
 			return s.WrapClient(conn, address), nil
 		}
 	}
-	return &http.Client{Transport: lean{t}}
+	return &http.Client{Transport: headerStripper{t}}
 }
 
-// lean sends no header that our own processes do not need. A heartbeat's
-// message is a hundred bytes; the usual headers were four times that, and a
-// relay takes one a second from each of its nodes.
-type lean struct{ next http.RoundTripper }
+// headerStripper removes request headers that the peer processes do not need. The message of a
+// heartbeat has a hundred bytes and the default headers four times that, and a relay receives one
+// heartbeat per second from each of its nodes.
+type headerStripper struct{ next http.RoundTripper }
 
-// RoundTrip sends the request without the headers.
-func (l lean) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip sends the request without the unneeded headers.
+func (l headerStripper) RoundTrip(r *http.Request) (*http.Response, error) {
 	r.Header["User-Agent"] = nil
 	r.Header.Del("Accept-Encoding")
 	r.Header.Del("Connect-Protocol-Version")
 	return l.next.RoundTrip(r)
 }
 
-// Lean serves answers without the headers that our own processes do not need.
+// Lean omits response headers that the peer processes do not need.
 func Lean(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header()["Date"] = nil
@@ -228,8 +227,8 @@
 	})
 }
 
-// Uncompressed are the options of handlers whose answers are too short to gain
-// from compression.
+// Uncompressed returns the option of handlers whose responses are too short to benefit from
+// compression.
 func Uncompressed() connect.HandlerOption { return connect.WithCompression("gzip", nil, nil) }
 
 // URL returns the base URL of an address.
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -13,7 +13,7 @@
 	"cactuspath/internal/testcert"
 )
 
-// serveTLS answers "ok" to peers with a certificate of the authority.
+// serveTLS starts a server that answers "ok" to peers whose certificate is signed by the authority.
 func serveTLS(t *testing.T, s *Security) string {
 	t.Helper()
 	l, err := s.Listen("127.0.0.1:0")
@@ -25,7 +25,7 @@
 	return l.Addr().String()
 }
 
-func ask(c *http.Client, address string) error {
+func get(c *http.Client, address string) error {
 	resp, err := c.Get("https://" + address + "/")
 	if err != nil {
 		return err
@@ -33,57 +33,57 @@
 	return resp.Body.Close()
 }
 
-func securityOf(t *testing.T, files testcert.Files) *Security {
+func newSecurity(t *testing.T, files testcert.Files) *Security {
 	t.Helper()
 	s, err := NewSecurity(TLSFiles(files))
 	assert.NilError(t, err)
-	s.every = 0
+	s.interval = 0
 	return s
 }
 
-// The certificates of two running processes are renewed, with a new authority. A
-// client that kept what it had read at its start could open no connection any
-// more: it trusted the old authority and showed the old certificate.
-func TestRenewedCertificatesServeRunningProcesses(t *testing.T) {
+// Guards against running processes that keep their initial certificates. After a renewal with a new
+// authority, such a client could open no more connections: it would trust the old authority and
+// present the old certificate.
+func TestRenewedCertificatesAreUsedWithoutRestart(t *testing.T) {
 	folder := t.TempDir()
 	files := testcert.Write(t, folder)
-	address := serveTLS(t, securityOf(t, files))
-	client := securityOf(t, files).ControlClient(&Traffic{})
-	assert.NilError(t, ask(client, address))
+	address := serveTLS(t, newSecurity(t, files))
+	client := newSecurity(t, files).ControlClient(&Traffic{})
+	assert.NilError(t, get(client, address))
 
 	testcert.Write(t, folder)
 	later := time.Now().Add(time.Second)
 	assert.NilError(t, os.Chtimes(files.Certificate, later, later))
-	assert.NilError(t, ask(client, address))
-	started := securityOf(t, files)
-	assert.NilError(t, ask(client, serveTLS(t, started)), "the running client and a process that starts now")
-	assert.NilError(t, ask(started.ControlClient(&Traffic{}), address), "a process that starts now and the running one")
+	assert.NilError(t, get(client, address))
+	started := newSecurity(t, files)
+	assert.NilError(t, get(client, serveTLS(t, started)), "running client, new server")
+	assert.NilError(t, get(started.ControlClient(&Traffic{}), address), "new client, running server")
 }
 
-// The renewed key is being written when it is looked at: the certificate in use
-// stays, and the next look finds the whole one.
-func TestHalfWrittenCertificateKeepsTheOneInUse(t *testing.T) {
+// Guards against losing the current certificate when a reload finds a partly written key. A later
+// check must load the complete files.
+func TestPartlyWrittenKeyKeepsCurrentCertificate(t *testing.T) {
 	folder := t.TempDir()
 	files := testcert.Write(t, folder)
-	address := serveTLS(t, securityOf(t, files))
-	client := securityOf(t, files).ControlClient(&Traffic{})
-	assert.NilError(t, ask(client, address))
+	address := serveTLS(t, newSecurity(t, files))
+	client := newSecurity(t, files).ControlClient(&Traffic{})
+	assert.NilError(t, get(client, address))
 
 	key, err := os.ReadFile(files.Key)
 	assert.NilError(t, err)
 	assert.NilError(t, os.WriteFile(files.Key, key[:len(key)/2], 0o600))
 	later := time.Now().Add(time.Second)
 	assert.NilError(t, os.Chtimes(files.Certificate, later, later))
-	assert.NilError(t, ask(client, address))
+	assert.NilError(t, get(client, address))
 	assert.NilError(t, os.WriteFile(files.Key, key, 0o600))
-	assert.NilError(t, ask(client, address))
+	assert.NilError(t, get(client, address))
 }
 
-// A peer without a certificate of the authority gets no answer.
-func TestPeerOfAnotherAuthorityIsRefused(t *testing.T) {
-	address := serveTLS(t, securityOf(t, testcert.Write(t, t.TempDir())))
-	stranger := securityOf(t, testcert.Write(t, t.TempDir()))
-	assert.Assert(t, ask(stranger.ControlClient(&Traffic{}), address) != nil)
+// Guards against answering a peer whose certificate is not signed by the authority.
+func TestPeerOfOtherAuthorityIsRefused(t *testing.T) {
+	address := serveTLS(t, newSecurity(t, testcert.Write(t, t.TempDir())))
+	stranger := newSecurity(t, testcert.Write(t, t.TempDir()))
+	assert.Assert(t, get(stranger.ControlClient(&Traffic{}), address) != nil)
 	conn, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
 	defer conn.Close()
