--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads a process's settings: JSON with comments, static for
-// the life of the process, checked in full before anything starts.
+// Package settings reads the settings of a process from JSON with comments. A file is checked
+// completely before any of its settings takes effect. While the process runs, it applies a changed
+// file only in part; the other settings stay as they were at the start.
 package settings
 
 import (
@@ -15,7 +16,7 @@
 	"cactuspath/internal/transport"
 )
 
-// Settings of one process. Node, Control or both are set.
+// Settings holds the settings of a process. At least one of Node and Control is set.
 type Settings struct {
 	Host, DataCenter, Region string
 	Node                     *Node
@@ -24,78 +25,78 @@
 	ControlReplicas []string
 	TLS             transport.TLSFiles
 	LogLevel        int
-	// GCPercent is how much the heap may grow between two collections, in percent
-	// of what is in use. Less memory costs more processor time.
+	// GCPercent sets the heap growth between two garbage collections, in percent of the memory in
+	// use. A lower value saves memory but costs processor time.
 	GCPercent int
-	// StopTimeout bounds a planned stop.
+	// StopTimeout limits the duration of a planned stop.
 	StopTimeout time.Duration
-	// Retry bounds second attempts; the estate's terms hold where it is zero.
+	// Retry limits retries. If it is zero, the limits in the estate apply.
 	Retry RetryBudget
-	// Metrics is where metrics are served to other hosts; empty for nowhere.
+	// Metrics is the address that serves metrics to other hosts, or empty to serve none.
 	Metrics string
-	// Disabled are mechanisms of the decision code that are switched off.
+	// Disabled is the set of disabled mechanisms of the decision code.
 	Disabled mechanism.Set
-	// Adapter connects the process to an outside platform; nil for none.
+	// Adapter connects the process to an external platform; nil for none.
 	Adapter *Adapter
 }
 
-// RetryBudget bounds the second attempts that all nodes send to one service: in
-// each Window at most Ratio times its requests, and Slack more.
+// RetryBudget limits the retries that all nodes together send to one service. In each Window, they
+// may send at most Ratio times the number of its requests plus Slack.
 type RetryBudget struct {
 	Ratio, Slack float64
 	Window       time.Duration
 }
 
-// Adapter names the code that speaks a platform's formats, where it listens, and
-// what the platform says that only this code understands.
+// Adapter configures the code that implements the formats of a platform.
 type Adapter struct {
 	Name string
-	// Listen are the addresses where the platform calls this process.
+	// Listen are the addresses on which the platform calls this process.
 	Listen []string
-	// Options are the platform's own, as it writes them.
+	// Options are the options of the platform, in its own syntax. Only the adapter interprets them.
 	Options []string
 }
 
-// Node is the part that runs beside a backend server.
+// Node holds the settings of a node, which runs next to a backend server.
 type Node struct {
-	// Callers, Peer and Admin are listen addresses. Admin must be on loopback:
-	// it is where the backend server announces itself.
+	// Callers, Peer and Admin are listen addresses. Admin must be on loopback, because the backend
+	// server announces itself there.
 	Callers, Peer, Admin string
-	// PeerAddress is where other nodes reach Peer; Peer itself if empty.
+	// PeerAddress is the address at which other nodes reach Peer. It defaults to Peer.
 	PeerAddress string
-	// Service is the service beside this node, if it is known beforehand.
+	// Service is the service of the node's backend server, if known in advance.
 	Service string
-	// Backend is the address of the backend server, if it is known beforehand.
+	// Backend is the address of the backend server, if known in advance.
 	Backend string
-	// WatchControl has changes come from the control replicas at once.
+	// WatchControl makes the node watch the control replicas, so that it receives changes without
+	// delay.
 	WatchControl bool
 }
 
-// Control is a control replica.
+// Control holds the settings of a control replica.
 type Control struct {
-	// Address is where others reach the replica; it listens on Listen, which is
-	// the same unless set.
+	// Address is the address at which others reach the replica. Listen is its listen address and
+	// defaults to Address.
 	Name, Address, Listen, DataFolder string
-	// Founders are the names and addresses of the first members.
+	// Founders maps the names of the founding members to their addresses.
 	Founders  map[string]string
 	Operators []Operator
-	// DataCenters are those that operators may evacuate; any if empty.
+	// DataCenters are the data centres that operators may evacuate; any if empty.
 	DataCenters []string
-	// Group has the replicas choose their members by themselves; nil leaves them
-	// to operators.
+	// Group lets the replicas manage their membership themselves; nil leaves this to operators.
 	Group *Group
 }
 
-// Group tells how a control group forms by itself.
+// Group configures a control group that forms by itself.
 type Group struct {
-	// Tolerate is how many replicas may be lost at once.
+	// Tolerate is the number of replicas that may fail at the same time.
 	Tolerate int
-	// Found: this is the first start of the whole system. The addresses that every
-	// process was given found the group.
+	// Found marks the first start of the whole system. The replicas at the addresses in
+	// ControlReplicas then found the group.
 	Found bool
 }
 
-// Operator may change what it lists.
+// Operator is a person or program that may change the listed institutions and, with Hosts, hosts
+// and replicas.
 type Operator struct {
 	Name, TokenSHA256 string
 	Institutions      []string
@@ -104,20 +105,20 @@
 
 const (
 	defaultStopTimeout = 30 * time.Second
-	// defaultGCPercent is the runtime's own. Below the least value the collector
-	// takes more than the work itself.
+	// defaultGCPercent is the default of the Go runtime. Below minGCPercent, the garbage collector
+	// uses more processor time than the work itself.
 	defaultGCPercent = 100
 	minGCPercent     = 10
 	maxGCPercent     = 1000
 )
 
-// InvalidError lists everything that is wrong with a settings file.
+// InvalidError lists all problems of a settings file.
 type InvalidError struct {
 	File     string
 	Problems []jsonc.Problem
 }
 
-// Error lists the problems, one a line.
+// Error returns the problems, one per line.
 func (e *InvalidError) Error() string {
 	lines := make([]string, len(e.Problems))
 	for i, p := range e.Problems {
@@ -130,7 +131,7 @@
 func Load(file string) (*Settings, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, errors.Wrap(err, "read the settings; name the file with --settings")
+		return nil, errors.Wrap(err, "read the settings; specify the file with --settings")
 	}
 	s, problems := Parse(text)
 	if len(problems) > 0 {
@@ -146,60 +147,61 @@
 		return nil, reader.Problems()
 	}
 	s := &Settings{StopTimeout: defaultStopTimeout, GCPercent: defaultGCPercent}
-	plain := false
+	allowPlainText := false
 	root.Object(map[string]func(jsonc.Node){
-		"host":            func(n jsonc.Node) { s.Host = label(n) },
-		"dataCenter":      func(n jsonc.Node) { s.DataCenter = label(n) },
-		"region":          func(n jsonc.Node) { s.Region = label(n) },
+		"host":            func(n jsonc.Node) { s.Host = readName(n) },
+		"dataCenter":      func(n jsonc.Node) { s.DataCenter = readName(n) },
+		"region":          func(n jsonc.Node) { s.Region = readName(n) },
 		"node":            func(n jsonc.Node) { s.Node = readNode(n) },
 		"control":         func(n jsonc.Node) { s.Control = readControl(n) },
-		"controlReplicas": func(n jsonc.Node) { s.ControlReplicas = addresses(n) },
+		"controlReplicas": func(n jsonc.Node) { s.ControlReplicas = readControlReplicas(n) },
 		"tls":             func(n jsonc.Node) { s.TLS = readTLS(n) },
-		"allowPlainText":  func(n jsonc.Node) { plain = n.Bool() },
+		"allowPlainText":  func(n jsonc.Node) { allowPlainText = n.Bool() },
 		"logLevel":        func(n jsonc.Node) { s.LogLevel = int(n.Uint(0, 10)) },
 		"gcPercent":       func(n jsonc.Node) { s.GCPercent = int(n.Uint(minGCPercent, maxGCPercent)) },
 		"stopTimeout":     func(n jsonc.Node) { s.StopTimeout = n.Duration(time.Second, time.Hour) },
-		"metrics":         func(n jsonc.Node) { s.Metrics = address(n) },
+		"metrics":         func(n jsonc.Node) { s.Metrics = readAddress(n) },
 		"policy":          func(n jsonc.Node) { s.Disabled = readPolicy(n) },
 		"adapter":         func(n jsonc.Node) { s.Adapter = readAdapter(n) },
 	}, "host", "dataCenter", "region", "controlReplicas")
 	if s.Node == nil && s.Control == nil {
 		root.Fail("neither node nor control is set", `add "node": {…}, "control": {…}, or both`)
 	}
-	s.checkOpen(root, plain)
+	s.checkListenersUseTLS(root, allowPlainText)
 	return s, reader.Problems()
 }
 
 // readPolicy reads {"disable": [names]}.
 func readPolicy(n jsonc.Node) mechanism.Set {
-	var off mechanism.Set
+	var disabled mechanism.Set
 	n.Object(map[string]func(jsonc.Node){"disable": func(list jsonc.Node) {
 		for _, name := range list.Elements() {
 			m, err := mechanism.Parse([]string{name.String()})
 			if err != nil {
-				name.Fail(err.Error(), "take a name from the list, or leave the entry out")
+				name.Fail(err.Error(), "use a name from the list, or remove the entry")
 			}
-			off |= m
+			disabled |= m
 		}
 	}})
-	return off
+	return disabled
 }
 
-// checkOpen refuses listeners that others can reach without TLS, unless the
-// settings say so plainly: what nodes tell each other decides where work goes.
-func (s *Settings) checkOpen(root jsonc.Node, plain bool) {
-	if s.TLS.Enabled() || plain {
+// checkListenersUseTLS rejects listeners that other hosts can reach without TLS, unless the
+// settings allow plain text explicitly. Messages between nodes decide where requests are sent, so
+// they must come from trusted peers.
+func (s *Settings) checkListenersUseTLS(root jsonc.Node, allowPlainText bool) {
+	if s.TLS.Enabled() || allowPlainText {
 		return
 	}
-	for _, address := range s.open() {
-		if !loopback(address) {
-			root.Fail("the address "+address+" can be reached from other hosts without TLS", `set "tls", or say "allowPlainText": true if the network is trusted`)
+	for _, address := range s.peerListeners() {
+		if !isLoopback(address) {
+			root.Fail("the address "+address+" can be reached from other hosts without TLS", `set "tls", or set "allowPlainText": true if the network is trusted`)
 			return
 		}
 	}
 }
 
-func (s *Settings) open() []string {
+func (s *Settings) peerListeners() []string {
 	var list []string
 	if s.Node != nil {
 		list = append(list, s.Node.Peer)
@@ -210,7 +212,7 @@
 	return list
 }
 
-func loopback(address string) bool {
+func isLoopback(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return true
@@ -222,8 +224,8 @@
 func readAdapter(n jsonc.Node) *Adapter {
 	a := &Adapter{}
 	n.Object(map[string]func(jsonc.Node){
-		"name":    func(n jsonc.Node) { a.Name = label(n) },
-		"listen":  func(n jsonc.Node) { a.Listen = addressList(n) },
+		"name":    func(n jsonc.Node) { a.Name = readName(n) },
+		"listen":  func(n jsonc.Node) { a.Listen = readAddresses(n) },
 		"options": func(n jsonc.Node) { a.Options = n.Strings() },
 	}, "name")
 	return a
@@ -232,18 +234,18 @@
 func readNode(n jsonc.Node) *Node {
 	node := &Node{}
 	n.Object(map[string]func(jsonc.Node){
-		"callers":     func(n jsonc.Node) { node.Callers = address(n) },
-		"peer":        func(n jsonc.Node) { node.Peer = address(n) },
-		"peerAddress": func(n jsonc.Node) { node.PeerAddress = address(n) },
-		"service":     func(n jsonc.Node) { node.Service = label(n) },
-		"backend":     func(n jsonc.Node) { node.Backend = address(n) },
+		"callers":     func(n jsonc.Node) { node.Callers = readAddress(n) },
+		"peer":        func(n jsonc.Node) { node.Peer = readAddress(n) },
+		"peerAddress": func(n jsonc.Node) { node.PeerAddress = readAddress(n) },
+		"service":     func(n jsonc.Node) { node.Service = readName(n) },
+		"backend":     func(n jsonc.Node) { node.Backend = readAddress(n) },
 		"watchControl": func(n jsonc.Node) {
 			node.WatchControl = n.Bool()
 		},
 		"admin": func(n jsonc.Node) {
-			node.Admin = address(n)
-			if !loopback(node.Admin) {
-				n.Fail("the admin address "+node.Admin+" is not on loopback", "use 127.0.0.1: whoever reaches it can announce a backend server")
+			node.Admin = readAddress(n)
+			if !isLoopback(node.Admin) {
+				n.Fail("the admin address "+node.Admin+" is not on loopback", "use 127.0.0.1: any process that can connect to it can announce a backend server")
 			}
 		},
 	}, "callers", "peer", "admin")
@@ -256,13 +258,13 @@
 func readControl(n jsonc.Node) *Control {
 	c := &Control{Founders: map[string]string{}}
 	n.Object(map[string]func(jsonc.Node){
-		"name":       func(n jsonc.Node) { c.Name = label(n) },
-		"address":    func(n jsonc.Node) { c.Address = address(n) },
-		"listen":     func(n jsonc.Node) { c.Listen = address(n) },
-		"dataFolder": func(n jsonc.Node) { c.DataFolder = notEmpty(n) },
+		"name":       func(n jsonc.Node) { c.Name = readName(n) },
+		"address":    func(n jsonc.Node) { c.Address = readAddress(n) },
+		"listen":     func(n jsonc.Node) { c.Listen = readAddress(n) },
+		"dataFolder": func(n jsonc.Node) { c.DataFolder = readNonEmpty(n) },
 		"founders": func(n jsonc.Node) {
 			for _, m := range n.Members() {
-				c.Founders[m.Name] = address(m.Value)
+				c.Founders[m.Name] = readAddress(m.Value)
 			}
 		},
 		"dataCenters": func(n jsonc.Node) { c.DataCenters = n.Strings() },
@@ -278,14 +280,14 @@
 	return c
 }
 
-// maxTolerate bounds the losses that a group is laid out for: seven voters are
-// the most that one leader serves without cost to every change.
-const maxTolerate = 3
+// maxToleratedFailures limits the size of a group to seven voters, the most that a leader serves
+// without slowing down every change.
+const maxToleratedFailures = 3
 
 func readGroup(n jsonc.Node) *Group {
 	g := &Group{}
 	n.Object(map[string]func(jsonc.Node){
-		"tolerate": func(n jsonc.Node) { g.Tolerate = int(n.Uint(0, maxTolerate)) },
+		"tolerate": func(n jsonc.Node) { g.Tolerate = int(n.Uint(0, maxToleratedFailures)) },
 		"found":    func(n jsonc.Node) { g.Found = n.Bool() },
 	}, "tolerate")
 	return g
@@ -294,7 +296,7 @@
 func readOperator(n jsonc.Node) Operator {
 	var o Operator
 	n.Object(map[string]func(jsonc.Node){
-		"name": func(n jsonc.Node) { o.Name = label(n) },
+		"name": func(n jsonc.Node) { o.Name = readName(n) },
 		"tokenSha256": func(n jsonc.Node) {
 			o.TokenSHA256 = n.String()
 			if len(o.TokenSHA256) != 64 {
@@ -310,14 +312,14 @@
 func readTLS(n jsonc.Node) transport.TLSFiles {
 	var f transport.TLSFiles
 	n.Object(map[string]func(jsonc.Node){
-		"certificate": func(n jsonc.Node) { f.Certificate = notEmpty(n) },
-		"key":         func(n jsonc.Node) { f.Key = notEmpty(n) },
-		"authority":   func(n jsonc.Node) { f.Authority = notEmpty(n) },
+		"certificate": func(n jsonc.Node) { f.Certificate = readNonEmpty(n) },
+		"key":         func(n jsonc.Node) { f.Key = readNonEmpty(n) },
+		"authority":   func(n jsonc.Node) { f.Authority = readNonEmpty(n) },
 	}, "certificate", "key", "authority")
 	return f
 }
 
-func notEmpty(n jsonc.Node) string {
+func readNonEmpty(n jsonc.Node) string {
 	s := n.String()
 	if s == "" {
 		n.Fail("must not be empty", "write a value")
@@ -325,17 +327,17 @@
 	return s
 }
 
-const maxLabel = 63
+const maxNameLength = 63
 
-func label(n jsonc.Node) string {
-	s := notEmpty(n)
-	if len(s) > maxLabel || strings.ContainsAny(s, " \t\r\n;/\x00") {
+func readName(n jsonc.Node) string {
+	s := readNonEmpty(n)
+	if len(s) > maxNameLength || strings.ContainsAny(s, " \t\r\n;/\x00") {
 		n.Fail("not a valid name", "use at most 63 characters without spaces, slashes and semicolons")
 	}
 	return s
 }
 
-func address(n jsonc.Node) string {
+func readAddress(n jsonc.Node) string {
 	s := n.String()
 	host, port, err := net.SplitHostPort(s)
 	if err != nil || port == "" || net.ParseIP(host) == nil {
@@ -344,12 +346,12 @@
 	return s
 }
 
-func addressList(n jsonc.Node) []string { return jsonc.List(n, address) }
+func readAddresses(n jsonc.Node) []string { return jsonc.List(n, readAddress) }
 
-func addresses(n jsonc.Node) []string {
-	list := addressList(n)
+func readControlReplicas(n jsonc.Node) []string {
+	list := readAddresses(n)
 	if len(list) == 0 {
-		n.Fail("no control replica is named", "list the address of each")
+		n.Fail("no control replica is named", "list the address of each control replica")
 	}
 	return list
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"cactuspath/core/mechanism"
 )
 
-const whole = `{
+const validSettings = `{
   "host": "h1", "dataCenter": "dc", "region": "r",
   "controlReplicas": ["10.0.0.1:7000"],
   "node": {"callers": "0.0.0.0:8080", "peer": "127.0.0.1:7070", "admin": "127.0.0.1:7071"},
@@ -18,15 +18,15 @@
 }`
 
 func TestParseAccepts(t *testing.T) {
-	s, problems := Parse([]byte(whole))
+	s, problems := Parse([]byte(validSettings))
 	assert.Equal(t, len(problems), 0)
 	assert.Equal(t, s.Node.PeerAddress, "127.0.0.1:7070")
 	assert.Equal(t, s.Control.Listen, "127.0.0.1:7000")
 	assert.Equal(t, s.Control.Operators[0].Name, "mai")
 }
 
-func TestMechanismsAreSwitchedOffByName(t *testing.T) {
-	s, problems := Parse([]byte(strings.Replace(whole, `"host": "h1"`, `"policy": {"disable": ["hints", "moves"]}, "host": "h1"`, 1)))
+func TestMechanismsAreDisabledByName(t *testing.T) {
+	s, problems := Parse([]byte(strings.Replace(validSettings, `"host": "h1"`, `"policy": {"disable": ["hints", "moves"]}, "host": "h1"`, 1)))
 	assert.Equal(t, len(problems), 0)
 	assert.Equal(t, s.Disabled, mechanism.Hints|mechanism.Moves)
 }
@@ -35,16 +35,16 @@
 	cases := []struct{ desc, old, new, want string }{
 		{"no role", `"node"`, `"nodes"`, `unknown field "nodes"`},
 		{"host name for address", `127.0.0.1:7070`, `localhost:7070`, "not an IP address with a port"},
-		{"admin in the open", `127.0.0.1:7071`, `0.0.0.0:7071`, "is not on loopback"},
-		{"peer in the open without TLS", `127.0.0.1:7070`, `10.0.0.9:7070`, "can be reached from other hosts without TLS"},
+		{"admin not on loopback", `127.0.0.1:7071`, `0.0.0.0:7071`, "is not on loopback"},
+		{"peer reachable from other hosts without TLS", `127.0.0.1:7070`, `10.0.0.9:7070`, "can be reached from other hosts without TLS"},
 		{"founders without itself", `{"c1": "127`, `{"c2": "127`, "founders does not list this replica"},
 		{"short digest", `0123456789012`, `1`, "not a SHA-256 digest"},
-		{"a mechanism that is not there", `"host": "h1"`, `"policy": {"disable": ["moves", "luck"]}, "host": "h1"`, "no such mechanism: \"luck\""},
+		{"unknown mechanism", `"host": "h1"`, `"policy": {"disable": ["moves", "luck"]}, "host": "h1"`, "no such mechanism: \"luck\""},
 		{"no replicas", `["10.0.0.1:7000"]`, `[]`, "no control replica is named"},
 	}
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
-			_, problems := Parse([]byte(strings.Replace(whole, c.old, c.new, 1)))
+			_, problems := Parse([]byte(strings.Replace(validSettings, c.old, c.new, 1)))
 			var all []string
 			for _, p := range problems {
 				all = append(all, p.String())
