--- a/internal/logs/decision.go
+++ b/internal/logs/decision.go
@@ -9,60 +9,60 @@
 )
 
 const (
-	// usualPerSecond bounds the lines about requests that go well; failurePerSecond
-	// is kept for those that do not, which are the ones that are looked for. At
-	// some 250 bytes a line both are 175 KB a second.
-	usualPerSecond   = 400
+	// routinePerSecond limits the log lines about requests without a failure. Lines about failures
+	// have the separate limit failurePerSecond, because these are the lines needed in an
+	// investigation. At about 250 bytes per line, both limits together allow 175 KB per second.
+	routinePerSecond = 400
 	failurePerSecond = 300
 )
 
-// bucket lets a number of lines pass in each second.
-type bucket struct {
+// rateLimit allows a number of lines per second.
+type rateLimit struct {
 	perSecond int
 	second    int64
-	used      int
+	count     int
 }
 
-func (b *bucket) take(second int64) bool {
+func (b *rateLimit) take(second int64) bool {
 	if b.second != second {
-		b.second, b.used = second, 0
+		b.second, b.count = second, 0
 	}
-	b.used++
-	return b.used <= b.perSecond
+	b.count++
+	return b.count <= b.perSecond
 }
 
-// limiter bounds the lines about requests of one process.
+// limiter limits the log lines about requests of a process.
 type limiter struct {
-	mu              sync.Mutex
-	usual, failures bucket
-	start           time.Time
-	skipped         atomic.Int64
-	told            int64
+	mu                sync.Mutex
+	routine, failures rateLimit
+	start             time.Time
+	skipped           atomic.Int64
+	reported          int64
 }
 
-var lines = &limiter{usual: bucket{perSecond: usualPerSecond}, failures: bucket{perSecond: failurePerSecond}, start: time.Now()}
+var requestLines = &limiter{routine: rateLimit{perSecond: routinePerSecond}, failures: rateLimit{perSecond: failurePerSecond}, start: time.Now()}
 
 func (l *limiter) allow(failure bool) (ok bool, skipped int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	second := int64(time.Since(l.start) / time.Second)
-	if failure && l.failures.take(second) || !failure && l.usual.take(second) {
-		skipped = l.skipped.Load() - l.told
-		l.told += skipped
+	if failure && l.failures.take(second) || !failure && l.routine.take(second) {
+		skipped = l.skipped.Load() - l.reported
+		l.reported += skipped
 		return true, skipped
 	}
 	l.skipped.Add(1)
 	return false, 0
 }
 
-// Skipped counts the lines about requests that did not fit the bound.
-func Skipped() int64 { return lines.skipped.Load() }
+// Skipped returns the number of lines about requests that exceeded the limits.
+func Skipped() int64 { return requestLines.skipped.Load() }
 
-// Decision logs a decision that touches a request: what was decided, and what it
-// rests on. Failure marks one that a caller will notice; such lines have a bound
-// of their own, so that a flood of good ones does not hide them.
+// Decision logs a decision about a request and the data it is based on. Set failure for decisions
+// that affect the caller. Their lines have a separate limit, so that a flood of routine lines does
+// not suppress them.
 func Decision(failure bool, message string, keysAndValues ...any) {
-	ok, skipped := lines.allow(failure)
+	ok, skipped := requestLines.allow(failure)
 	if skipped > 0 {
 		klog.InfoSDepth(1, "Lines about requests skipped: more than the bound in a second", "lines", skipped)
 	}
--- a/internal/logs/writer.go
+++ b/internal/logs/writer.go
@@ -1,6 +1,6 @@
-// Package logs carries structured lines to standard output without ever holding
-// up the work they tell of. Lines about requests are bounded per second; lines
-// that do not fit are counted, and the count is logged.
+// Package logs writes structured log lines to standard output without blocking the code that logs
+// them. Lines about requests are limited per second; lines over the limit are counted, and the
+// count is logged.
 package logs
 
 import (
@@ -12,45 +12,45 @@
 )
 
 const (
-	// bufferBytes is how much may wait for a reader that is slow or gone: some two
-	// seconds of a busy node's lines.
+	// bufferBytes limits the lines that are buffered while the reader of the output is slow or
+	// gone. It holds about two seconds of log lines of a busy node.
 	bufferBytes = 256 << 10
-	// gather is how long lines are collected before they are written, so that a
-	// busy process makes ten system calls a second for them and not a thousand.
-	gather = 100 * time.Millisecond
+	// batchInterval is the time for which lines are collected before they are written, so that a
+	// busy process makes ten system calls per second instead of a thousand.
+	batchInterval = 100 * time.Millisecond
 )
 
-// Writer is an io.Writer that never blocks. What does not fit its buffer while
-// the output is not read is dropped whole, line by line. Safe for concurrent use.
+// Writer is an io.Writer that never blocks. If the output is not read and the buffer is full, it
+// drops whole lines. It is safe for concurrent use.
 type Writer struct {
 	out io.Writer
 
 	mu      sync.Mutex
-	waiting []byte
+	pending []byte
 	closed  bool
 	wake    chan struct{}
 	done    chan struct{}
-	// Dropped counts lines that were dropped.
-	Dropped atomic.Int64
-	told    int64
+	// Dropped is the number of dropped lines.
+	Dropped  atomic.Int64
+	reported int64
 }
 
-// NewWriter starts a writer to out.
+// NewWriter returns a running writer to out.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{out: out, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes in one line. It always succeeds.
+// Write buffers or drops one line. It never returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
-	if w.closed || len(w.waiting)+len(line) > bufferBytes {
+	if w.closed || len(w.pending)+len(line) > bufferBytes {
 		w.mu.Unlock()
 		w.Dropped.Add(1)
 		return len(line), nil
 	}
-	w.waiting = append(w.waiting, line...)
+	w.pending = append(w.pending, line...)
 	w.mu.Unlock()
 	select {
 	case w.wake <- struct{}{}:
@@ -67,18 +67,18 @@
 		closed := w.closed
 		w.mu.Unlock()
 		if !closed {
-			time.Sleep(gather)
+			time.Sleep(batchInterval)
 		}
 		w.mu.Lock()
-		batch, w.waiting = w.waiting, batch[:0]
+		batch, w.pending = w.pending, batch[:0]
 		closed = w.closed
 		w.mu.Unlock()
-		if dropped := w.Dropped.Load(); dropped > w.told {
-			batch = fmt.Appendf(batch, "W \"Log lines dropped: the output was not read\" lines=%d total=%d\n", dropped-w.told, dropped)
-			w.told = dropped
+		if dropped := w.Dropped.Load(); dropped > w.reported {
+			batch = fmt.Appendf(batch, "W \"Log lines dropped: the output was not read\" lines=%d total=%d\n", dropped-w.reported, dropped)
+			w.reported = dropped
 		}
 		if len(batch) > 0 {
-			// Nothing can be told of an output that fails; the lines are lost.
+			// There is no other place to report a failing output; the lines are lost.
 			_, _ = w.out.Write(batch)
 		}
 		if closed {
@@ -87,8 +87,8 @@
 	}
 }
 
-// Close writes what waits, for at most the given time.
-func (w *Writer) Close(atMost time.Duration) {
+// Close writes the buffered lines and waits for this at most the given time.
+func (w *Writer) Close(timeout time.Duration) {
 	w.mu.Lock()
 	w.closed = true
 	w.mu.Unlock()
@@ -98,6 +98,6 @@
 	}
 	select {
 	case <-w.done:
-	case <-time.After(atMost):
+	case <-time.After(timeout):
 	}
 }
