--- a/internal/replica/adapter.go
+++ b/internal/replica/adapter.go
@@ -8,48 +8,49 @@
 	"cactuspath/core/estate"
 )
 
-// Submission is a text that an operator wants in force.
+// Submission is an institution's text that an operator submits.
 type Submission struct {
 	ID           string
 	BaseRevision uint64
 	Text         []byte
 	// Source is the document that Text was translated from, if any.
 	Source []byte
-	// ContentID: ID is a digest of what was sent.
+	// ContentID marks ID as a digest of the submitted content.
 	ContentID bool
 }
 
-// Evacuation is an order that a data centre gets no requests, or the end of one.
+// Evacuation starts or ends the evacuation of a data centre. An evacuated data centre receives no
+// requests.
 type Evacuation struct {
 	ID         string
 	DataCenter string
 	Evacuated  bool
 }
 
-// Evacuate has an evacuation agreed on, or its end. An order for what is in force
-// already is accepted and changes nothing, so that one whose answer was lost may be
-// given again.
+// Evacuate commits the start or end of an evacuation. If the data centre is already in the
+// requested state, the change is accepted without effect, so that a caller can retry after a lost
+// answer.
 func (r *Replica) Evacuate(ctx context.Context, operator string, e Evacuation) (*apiv1.AuditRecord, error) {
 	return r.evacuate(ctx, Operator{Name: operator, Hosts: true}, e)
 }
 
-// Document is an institution's newest accepted text.
+// Document is the newest accepted text of an institution.
 type Document struct {
 	Revision     uint64
 	Text, Source []byte
 }
 
-// Submit has a text agreed on, for an adapter in this process that speaks an
-// operator's format. Whoever reaches the adapter counts as the operator named.
+// Submit commits a text for an adapter in this process that implements an operator's format. Every
+// caller of the adapter acts as the named operator.
 func (r *Replica) Submit(ctx context.Context, operator string, s Submission) (*apiv1.AuditRecord, error) {
-	if err := requireID(s.ID); err != nil {
+	if err := requireChangeID(s.ID); err != nil {
 		return nil, err
 	}
 	return r.submit(ctx, Operator{Name: operator, Hosts: true, Institutions: []string{"*"}}, s)
 }
 
-// Accepted tells whether the change with this id was accepted. Acceptance is
-// final, so that any replica which has applied it may say so.
+// Accepted reports whether the change with this ID was accepted. Acceptance is final, so any
+// replica that has applied the change may report it.
 func (r *Replica) Accepted(id string) bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -57,35 +58,36 @@
 	return record != nil && record.Outcome == apiv1.Outcome_OUTCOME_ACCEPTED
 }
 
-// Newest returns the newest text of an institution, confirmed by a majority; a
-// replica that cannot be sure fails. The zero Document means that there is none.
+// Newest returns the newest text of an institution after confirmation by a majority. It fails on a
+// replica that cannot obtain the confirmation. The zero Document means that the institution has no
+// text.
 func (r *Replica) Newest(ctx context.Context, institution string) (Document, error) {
-	if err := r.confirm(ctx); err != nil {
+	if err := r.readBarrier(ctx); err != nil {
 		return Document{}, err
 	}
 	r.mu.RLock()
-	held := r.state.Document(institution)
+	stored := r.state.Document(institution)
 	r.mu.RUnlock()
-	return document(held)
+	return decodeDocument(stored)
 }
 
-func document(held *apiv1.Document) (Document, error) {
-	if held == nil {
+func decodeDocument(stored *apiv1.Document) (Document, error) {
+	if stored == nil {
 		return Document{}, nil
 	}
-	doc := Document{Revision: held.Revision}
+	doc := Document{Revision: stored.Revision}
 	var err error
-	if doc.Text, err = estate.Gunzip(held.TextGzip); err != nil {
+	if doc.Text, err = estate.Gunzip(stored.TextGzip); err != nil {
 		return Document{}, fault.New(fault.Unavailable, err)
 	}
-	if len(held.SourceGzip) > 0 {
-		if doc.Source, err = estate.Gunzip(held.SourceGzip); err != nil {
+	if len(stored.SourceGzip) > 0 {
+		if doc.Source, err = estate.Gunzip(stored.SourceGzip); err != nil {
 			return Document{}, fault.New(fault.Unavailable, err)
 		}
 	}
 	return doc, nil
 }
 
-// LeaderAddress is where the leader is reached, or "" if it is not known or
-// this replica leads.
+// LeaderAddress returns the address of the leader. It is empty if this replica leads or does not
+// know the leader.
 func (r *Replica) LeaderAddress() string { return r.leaderAddress() }
--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -7,7 +7,7 @@
 	apiv1 "cactuspath/api/cactuspath/v1"
 )
 
-// What is agreed on goes into the estate.
+// This file applies committed entries to the estate.
 
 func (r *Replica) restore(s *apiv1.Snapshot) error {
 	snapshot := &apiv1.EstateSnapshot{}
@@ -39,10 +39,10 @@
 	}
 	r.setApplied(e.Index)
 	r.mu.Unlock()
-	if w, ok := r.waiters[e.Index]; ok {
-		delete(r.waiters, e.Index)
+	if w, ok := r.proposals[e.Index]; ok {
+		delete(r.proposals, e.Index)
 		if w.term != e.Term {
-			// Another leader's entry took the place: this proposal is not agreed.
+			// An entry of another leader has this index: the proposal was not committed.
 			record = nil
 		}
 		w.done <- record
--- a/internal/replica/authority.go
+++ b/internal/replica/auth.go
@@ -13,10 +13,10 @@
 	"cactuspath/api/fault"
 )
 
-// Operator may change the estates of the institutions named, and with Hosts
-// announce planned stops and change replicas. An empty list of operators lets
-// anyone who reaches the listener do all; the settings allow that only on
-// loopback or when they say so.
+// Operator may change the estates of the listed institutions and, with Hosts, announce planned
+// stops and change replicas. If no operators are configured, any client that can connect to the
+// listener may do all of this; the settings allow that only on loopback or when they say so
+// explicitly.
 type Operator struct {
 	Name         string
 	TokenSHA256  string
@@ -27,11 +27,11 @@
 var errUnauthorized = errors.New("this operator may not make this change; " +
 	"use a token that the control replicas' settings list for it (`cactusctl --token-file F`)")
 
-// operator finds who calls. The claimed name counts only where no operators
+// authenticate identifies the operator by its token. The claimed name is used only if no operators
 // are configured.
-func (r *Replica) operator(header http.Header, claimed string) (Operator, error) {
+func (r *Replica) authenticate(header http.Header, claimedName string) (Operator, error) {
 	if len(r.options.Operators) == 0 {
-		return Operator{Name: claimed, Institutions: nil, Hosts: true}, nil
+		return Operator{Name: claimedName, Institutions: nil, Hosts: true}, nil
 	}
 	token := strings.TrimPrefix(header.Get("Authorization"), "Bearer ")
 	sum := sha256.Sum256([]byte(token))
@@ -44,16 +44,16 @@
 	return Operator{}, fault.New(fault.Unauthorized, errUnauthorized)
 }
 
-// hostOperator finds who calls, who must be one that may change hosts and replicas.
-func (r *Replica) hostOperator(header http.Header, claimed string) (Operator, error) {
-	who, err := r.operator(header, claimed)
-	if err == nil && !who.Hosts {
+// hostOperator identifies the operator and checks that it may change hosts and replicas.
+func (r *Replica) hostOperator(header http.Header, claimedName string) (Operator, error) {
+	operator, err := r.authenticate(header, claimedName)
+	if err == nil && !operator.Hosts {
 		err = fault.New(fault.Unauthorized, errUnauthorized)
 	}
-	return who, err
+	return operator, err
 }
 
-func (r *Replica) mayChange(o Operator, institution string) error {
+func (r *Replica) authorize(o Operator, institution string) error {
 	if len(r.options.Operators) == 0 || slices.Contains(o.Institutions, institution) || slices.Contains(o.Institutions, "*") {
 		return nil
 	}
--- a/internal/replica/authority_test.go
+++ b/internal/replica/auth_test.go
@@ -16,24 +16,24 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func TestAuthority(t *testing.T) {
+func TestOperatorAuthorization(t *testing.T) {
 	listed := &Replica{options: Options{Operators: []Operator{
 		{Name: "mai", TokenSHA256: digestOf("mai's"), Institutions: []string{"sao-khue"}},
 		{Name: "root", TokenSHA256: digestOf("root's"), Institutions: []string{"*"}, Hosts: true},
 	}}}
 	open := &Replica{}
 	cases := []struct {
-		desc, token, institution string
-		replica                  *Replica
-		name                     string
-		known, may               bool
+		desc, token, institution  string
+		replica                   *Replica
+		name                      string
+		authenticated, authorized bool
 	}{
-		{"her own institution", "mai's", "sao-khue", listed, "mai", true, true},
-		{"another institution", "mai's", "alder-finch", listed, "mai", true, false},
-		{"every institution", "root's", "alder-finch", listed, "root", true, true},
-		{"a wrong token", "guess", "sao-khue", listed, "", false, false},
+		{"own institution", "mai's", "sao-khue", listed, "mai", true, true},
+		{"other institution", "mai's", "alder-finch", listed, "mai", true, false},
+		{"all institutions", "root's", "alder-finch", listed, "root", true, true},
+		{"wrong token", "guess", "sao-khue", listed, "", false, false},
 		{"no token", "", "sao-khue", listed, "", false, false},
-		{"nobody is listed", "", "sao-khue", open, "claimed", true, true},
+		{"no operators configured", "", "sao-khue", open, "claimed", true, true},
 	}
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
@@ -41,29 +41,29 @@
 			if c.token != "" {
 				header.Set("Authorization", "Bearer "+c.token)
 			}
-			who, err := c.replica.operator(header, "claimed")
-			assert.Equal(t, err == nil, c.known)
-			if !c.known {
+			operator, err := c.replica.authenticate(header, "claimed")
+			assert.Equal(t, err == nil, c.authenticated)
+			if !c.authenticated {
 				kind, _ := fault.Of(err)
 				assert.Equal(t, kind, fault.Unauthorized)
 				return
 			}
-			assert.Equal(t, who.Name, c.name)
-			assert.Equal(t, c.replica.mayChange(who, c.institution) == nil, c.may)
+			assert.Equal(t, operator.Name, c.name)
+			assert.Equal(t, c.replica.authorize(operator, c.institution) == nil, c.authorized)
 		})
 	}
 }
 
-// Who may change an estate may not by that change hosts and replicas.
-func TestOnlyOperatorsOfHostsChangeHosts(t *testing.T) {
+// Guards against operators who may change an estate also being able to change hosts and replicas.
+func TestOnlyHostOperatorsChangeHosts(t *testing.T) {
 	r := &Replica{options: Options{Operators: []Operator{
 		{Name: "mai", TokenSHA256: digestOf("mai's"), Institutions: []string{"sao-khue"}},
 		{Name: "root", TokenSHA256: digestOf("root's"), Hosts: true},
 	}}}
-	for token, may := range map[string]bool{"mai's": false, "root's": true, "guess": false} {
+	for token, authorized := range map[string]bool{"mai's": false, "root's": true, "guess": false} {
 		_, err := r.hostOperator(http.Header{"Authorization": {"Bearer " + token}}, "claimed")
-		assert.Equal(t, err == nil, may, token)
-		if !may {
+		assert.Equal(t, err == nil, authorized, token)
+		if !authorized {
 			kind, _ := fault.Of(err)
 			assert.Equal(t, kind, fault.Unauthorized)
 		}
--- a/internal/replica/commands.go
+++ b/internal/replica/commands.go
@@ -14,35 +14,35 @@
 	"cactuspath/core/estate"
 )
 
-// commands serves apiv1connect.OperatorCommandServiceHandler.
-type commands struct{ r *Replica }
+// commandService implements apiv1connect.OperatorCommandServiceHandler.
+type commandService struct{ r *Replica }
 
-// Submit has an institution's text agreed on. Faults in the text are answered
-// at once and change nothing.
-func (c commands) Submit(ctx context.Context, req *connect.Request[apiv1.SubmitRequest]) (*connect.Response[apiv1.SubmitResponse], error) {
-	who, err := c.r.operator(req.Header(), req.Msg.Operator)
+// Submit commits an institution's text. If the text has problems, it returns them and changes
+// nothing.
+func (c commandService) Submit(ctx context.Context, req *connect.Request[apiv1.SubmitRequest]) (*connect.Response[apiv1.SubmitResponse], error) {
+	operator, err := c.r.authenticate(req.Header(), req.Msg.Operator)
 	if err != nil {
 		return nil, err
 	}
-	if err := requireID(req.Msg.ChangeId); err != nil {
+	if err := requireChangeID(req.Msg.ChangeId); err != nil {
 		return nil, err
 	}
-	record, err := c.r.submit(ctx, who, Submission{ID: req.Msg.ChangeId, BaseRevision: req.Msg.BaseRevision, Text: req.Msg.Text})
+	record, err := c.r.submit(ctx, operator, Submission{ID: req.Msg.ChangeId, BaseRevision: req.Msg.BaseRevision, Text: req.Msg.Text})
 	if err != nil {
 		return nil, err
 	}
 	return connect.NewResponse(&apiv1.SubmitResponse{Record: record}), nil
 }
 
-func (r *Replica) submit(ctx context.Context, who Operator, s Submission) (*apiv1.AuditRecord, error) {
+func (r *Replica) submit(ctx context.Context, operator Operator, s Submission) (*apiv1.AuditRecord, error) {
 	doc, problems := estate.Parse(s.Text)
 	if len(problems) > 0 {
-		return &apiv1.AuditRecord{Id: s.ID, Operator: who.Name, What: "submit", Outcome: apiv1.Outcome_OUTCOME_REFUSED, Problems: estate.Problems(problems)}, nil
+		return &apiv1.AuditRecord{Id: s.ID, Operator: operator.Name, What: "submit", Outcome: apiv1.Outcome_OUTCOME_REFUSED, Problems: estate.Problems(problems)}, nil
 	}
-	if err := r.mayChange(who, doc.Institution); err != nil {
+	if err := r.authorize(operator, doc.Institution); err != nil {
 		return nil, err
 	}
-	change := newChange(s.ID, who.Name)
+	change := newChange(s.ID, operator.Name)
 	submit := &apiv1.SubmitChange{Institution: doc.Institution, BaseRevision: s.BaseRevision, TextGzip: estate.Gzip(s.Text), ContentId: s.ContentID}
 	if len(s.Source) > 0 {
 		submit.SourceGzip = estate.Gzip(s.Source)
@@ -51,19 +51,19 @@
 	return r.propose(ctx, change)
 }
 
-// Drain announces a host's planned stop, or its end.
-func (c commands) Drain(ctx context.Context, req *connect.Request[apiv1.DrainRequest]) (*connect.Response[apiv1.DrainResponse], error) {
-	who, err := c.r.hostOperator(req.Header(), req.Msg.Operator)
+// Drain announces the start or end of a host's planned stop.
+func (c commandService) Drain(ctx context.Context, req *connect.Request[apiv1.DrainRequest]) (*connect.Response[apiv1.DrainResponse], error) {
+	operator, err := c.r.hostOperator(req.Header(), req.Msg.Operator)
 	if err != nil {
 		return nil, err
 	}
-	if err := requireID(req.Msg.ChangeId); err != nil {
+	if err := requireChangeID(req.Msg.ChangeId); err != nil {
 		return nil, err
 	}
 	if req.Msg.Host == "" {
-		return nil, fault.New(fault.Invalid, errors.New("no host is named; name the host to drain"))
+		return nil, fault.New(fault.Invalid, errors.New("no host is given; specify the host to drain"))
 	}
-	change := newChange(req.Msg.ChangeId, who.Name)
+	change := newChange(req.Msg.ChangeId, operator.Name)
 	change.Kind = &apiv1.Change_Host{Host: &apiv1.HostChange{Host: req.Msg.Host, Draining: req.Msg.Draining}}
 	record, err := c.r.propose(ctx, change)
 	if err != nil {
@@ -72,33 +72,33 @@
 	return connect.NewResponse(&apiv1.DrainResponse{Record: record}), nil
 }
 
-// Evacuate empties a data centre, or takes that back.
-func (c commands) Evacuate(ctx context.Context, req *connect.Request[apiv1.EvacuateRequest]) (*connect.Response[apiv1.EvacuateResponse], error) {
-	who, err := c.r.hostOperator(req.Header(), req.Msg.Operator)
+// Evacuate starts or ends the evacuation of a data centre.
+func (c commandService) Evacuate(ctx context.Context, req *connect.Request[apiv1.EvacuateRequest]) (*connect.Response[apiv1.EvacuateResponse], error) {
+	operator, err := c.r.hostOperator(req.Header(), req.Msg.Operator)
 	if err != nil {
 		return nil, err
 	}
-	record, err := c.r.evacuate(ctx, who, Evacuation{ID: req.Msg.ChangeId, DataCenter: req.Msg.DataCenter, Evacuated: req.Msg.Evacuated})
+	record, err := c.r.evacuate(ctx, operator, Evacuation{ID: req.Msg.ChangeId, DataCenter: req.Msg.DataCenter, Evacuated: req.Msg.Evacuated})
 	if err != nil {
 		return nil, err
 	}
 	return connect.NewResponse(&apiv1.EvacuateResponse{Record: record}), nil
 }
 
-func (r *Replica) evacuate(ctx context.Context, who Operator, e Evacuation) (*apiv1.AuditRecord, error) {
-	if err := requireID(e.ID); err != nil {
+func (r *Replica) evacuate(ctx context.Context, operator Operator, e Evacuation) (*apiv1.AuditRecord, error) {
+	if err := requireChangeID(e.ID); err != nil {
 		return nil, err
 	}
 	if err := r.checkDataCenter(e.DataCenter); err != nil {
 		return nil, fault.New(fault.Invalid, err)
 	}
-	change := newChange(e.ID, who.Name)
+	change := newChange(e.ID, operator.Name)
 	change.Kind = &apiv1.Change_DataCenter{DataCenter: &apiv1.DataCenterChange{DataCenter: e.DataCenter, Evacuated: e.Evacuated}}
 	return r.propose(ctx, change)
 }
 
-// checkDataCenter refuses a name that no host has: an order for a misspelt one would be
-// acknowledged, and empty nothing.
+// checkDataCenter rejects unknown data centres. Otherwise, an order with a misspelled name would be
+// acknowledged but have no effect.
 func (r *Replica) checkDataCenter(name string) error {
 	known := r.options.DataCenters
 	switch {
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// ChangeReplica changes the members by one.
-func (c commands) ChangeReplica(ctx context.Context, req *connect.Request[apiv1.ChangeReplicaRequest]) (*connect.Response[apiv1.ChangeReplicaResponse], error) {
+// ChangeReplica adds, promotes or removes one member.
+func (c commandService) ChangeReplica(ctx context.Context, req *connect.Request[apiv1.ChangeReplicaRequest]) (*connect.Response[apiv1.ChangeReplicaResponse], error) {
 	if _, err := c.r.hostOperator(req.Header(), req.Msg.Operator); err != nil {
 		return nil, err
 	}
@@ -126,7 +126,7 @@
 func (r *Replica) changeMember(ctx context.Context, m *apiv1.ChangeReplicaRequest) error {
 	var index uint64
 	var changeErr error
-	err := r.inLoop(ctx, func() {
+	err := r.runInLoop(ctx, func() {
 		switch m.Action {
 		case apiv1.ChangeReplicaRequest_ACTION_ADD_LEARNER:
 			index, _, changeErr = r.raft.AddLearner(m.MemberId, m.Name, m.Address)
@@ -135,21 +135,21 @@
 		case apiv1.ChangeReplicaRequest_ACTION_REMOVE:
 			index, _, changeErr = r.raft.Remove(m.MemberId)
 		default:
-			changeErr = fault.New(fault.Invalid, errors.New("no action is named; use add, promote or remove"))
+			changeErr = fault.New(fault.Invalid, errors.New("no action is given; use add, promote or remove"))
 		}
 	})
 	if err == nil {
 		err = changeErr
 	}
 	if err != nil {
-		return r.refusal(err)
+		return r.toFault(err)
 	}
 	return r.waitApplied(ctx, index)
 }
 
-func requireID(id string) error {
+func requireChangeID(id string) error {
 	if id == "" {
-		return fault.New(fault.Invalid, errors.New("the change has no id; give it one, so that it can be sent again safely"))
+		return fault.New(fault.Invalid, errors.New("the change has no id; set one, so that the change can be retried safely"))
 	}
 	return nil
 }
--- a/internal/replica/counters.go
+++ b/internal/replica/counters.go
@@ -7,7 +7,7 @@
 	"cactuspath/internal/transport"
 )
 
-// counters are this replica's, published by the process under /debug/vars.
+// counters are the metrics of this replica. The process publishes them under /debug/vars.
 type counters struct {
 	messagesSent, messagesDropped, messagesFailed expvar.Int
 	syncs, compactions, diskFailures              expvar.Int
--- a/internal/replica/disk.go
+++ b/internal/replica/disk.go
@@ -10,57 +10,55 @@
 	"cactuspath/core/estate"
 )
 
-// The disk: what is saved, when the log is compacted, and what becomes of a replica
-// whose disk refuses writes.
+// This file stores the state, compacts the log and handles a disk that rejects writes.
 
 const (
-	// compactBytes bounds the log file, and with it the time to restart.
-	compactBytes = 8 << 20
-	// compactRetry spaces tries to compact a log on a disk that refuses them.
-	compactRetry = 5 * time.Second
-	// diskRetry is how often a disk that refused a write is tried again.
-	diskRetry = 250 * time.Millisecond
+	// compactThresholdBytes limits the size of the log file, and thus the time to restart.
+	compactThresholdBytes = 8 << 20
+	// compactRetryInterval is the delay before compaction is retried after a disk error.
+	compactRetryInterval = 5 * time.Second
+	// diskRetryInterval is the interval of retries on a disk that rejected a write.
+	diskRetryInterval = 250 * time.Millisecond
 )
 
-// standAside waits until the disk takes writes again; false means that ctx ended.
-// Meanwhile the replica leads nobody and promises nothing: what it could not
-// save is not sent, and proposals and reads are sent elsewhere. Going on without
-// the disk would acknowledge what a crash takes back; ending the process would
-// only have it started again in front of the same disk.
-func (r *Replica) standAside(ctx context.Context, cause error) bool {
+// waitForDisk waits until the disk accepts writes again. It returns false if ctx ends first.
+// Meanwhile, the replica does not lead and does not vote or acknowledge entries: it sends nothing
+// that it could not store, and redirects proposals and reads. Continuing without the disk would
+// acknowledge data that a crash loses, and a restarted process would find the same disk.
+func (r *Replica) waitForDisk(ctx context.Context, cause error) bool {
 	klog.ErrorS(cause, "Disk lost: standing aside", "replica", r.options.Name, "folder", r.options.DataFolder)
 	r.counters.diskFailures.Add(1)
-	since := time.Now()
+	failedAt := time.Now()
 	r.raft.StepDown()
-	r.publish()
-	retry := time.NewTicker(diskRetry)
+	r.publishStatus()
+	retry := time.NewTicker(diskRetryInterval)
 	defer retry.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return false
 		case <-r.inbox:
-			// Others send again what they are not answered.
+			// Drop the messages: senders retry those that are not acknowledged.
 		case call := <-r.calls:
 			call()
 		case <-retry.C:
-			if r.disk.Repair() == nil && r.work() == nil {
-				klog.InfoS("Disk regained", "replica", r.options.Name, "after", time.Since(since))
+			if r.disk.Repair() == nil && r.processReady() == nil {
+				klog.InfoS("Disk regained", "replica", r.options.Name, "after", time.Since(failedAt))
 				return true
 			}
 			r.raft.StepDown()
 		}
 		rd, _ := r.raft.Ready()
-		r.answerReads(rd.Reads)
+		r.completeReads(rd.Reads)
 	}
 }
 
-func (r *Replica) save(rd consensus.Ready) error {
+func (r *Replica) persist(rd consensus.Ready) error {
 	if rd.HardState != nil {
-		r.hard = rd.HardState
+		r.hardState = rd.HardState
 	}
 	if rd.Snapshot != nil {
-		return r.disk.Compact(rd.Snapshot, rd.Entries, r.hard)
+		return r.disk.Compact(rd.Snapshot, rd.Entries, r.hardState)
 	}
 	if err := r.disk.Append(rd.Entries, rd.HardState); err != nil {
 		return err
@@ -72,7 +70,7 @@
 }
 
 func (r *Replica) maybeCompact() error {
-	if r.disk.Size() < compactBytes || time.Now().Before(r.compactAfter) {
+	if r.disk.Size() < compactThresholdBytes || time.Now().Before(r.compactAfter) {
 		return nil
 	}
 	r.mu.RLock()
@@ -87,10 +85,10 @@
 		return nil
 	}
 	r.counters.compactions.Add(1)
-	if err := r.disk.Compact(s, r.raft.EntriesAfter(s.Index), r.hard); err != nil {
-		// The log as it stands goes on being right; it is only longer than need be.
-		klog.ErrorS(err, "Log not compacted; tried again later", "replica", r.options.Name)
-		r.compactAfter = time.Now().Add(compactRetry)
+	if err := r.disk.Compact(s, r.raft.EntriesAfter(s.Index), r.hardState); err != nil {
+		// The existing log stays valid; it is only longer than necessary.
+		klog.ErrorS(err, "Log not compacted; will retry", "replica", r.options.Name)
+		r.compactAfter = time.Now().Add(compactRetryInterval)
 	}
 	return nil
 }
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -14,48 +14,47 @@
 	"cactuspath/internal/controlclient"
 )
 
-// A group that forms by itself: the founders are the addresses that every
-// process was given at the first start; the others, and those that lost their
-// disk, ask to join. The leader keeps 2 × tolerate + 1 voters: it admits who
-// asks as a learner, lets it vote once it has caught up, and takes out a voter
-// that is silent once another stands in for it. The newcomer votes before the
-// lost one goes, so that the losses that can be borne never fall below what
-// they were.
+// A group can manage its own membership. The founders are the replicas at the addresses that every
+// process receives at the first start. Other replicas, and those that lost their disk, request to
+// join. The leader maintains 2 × Tolerate + 1 voters: it admits a replica as a learner, promotes it
+// once it has caught up, and removes a silent voter once another has replaced it. The new member
+// votes before the silent one is removed, so that the number of tolerated failures never decreases.
 const (
-	// joinInterval is how often a replica that is no member asks again. An empty
-	// one has to be a voter within seconds, and one question is a few hundred bytes.
+	// joinInterval is the interval at which a replica that is not a member requests to join. A
+	// replica with an empty disk has to be a voter within seconds, and a request has only a few
+	// hundred bytes.
 	joinInterval = 200 * time.Millisecond
 	joinTimeout  = time.Second
-	// groupInterval is how often the leader looks at its members.
-	groupInterval = 100 * time.Millisecond
-	// silentAfter is when a voter counts as lost for the choice who stands in for
-	// it: five missed heartbeats, below the shortest election timeout's double.
-	silentAfter = time.Second
-	// forgetLearnerAfter is when a learner that stopped answering is taken out; it
-	// costs only messages until then.
-	forgetLearnerAfter = 30 * time.Second
-	// maxMembers bounds the group: each member is one more copy that the leader
-	// sends, and no deployment asks for more than nine voters.
+	// membershipInterval is the interval at which the leader checks the members.
+	membershipInterval = 100 * time.Millisecond
+	// silenceTimeout is the silence after which a voter counts as lost, so that the leader replaces
+	// it. It is five missed heartbeats, and less than twice the shortest election timeout.
+	silenceTimeout = time.Second
+	// learnerRemovalTimeout is the silence after which a learner is removed. Until then, it costs
+	// only messages.
+	learnerRemovalTimeout = 30 * time.Second
+	// maxMembers limits the size of the group. The leader sends a copy of each entry to each
+	// member, and no deployment needs more than nine voters.
 	maxMembers = 15
 )
 
-// Group makes a replica form its group by itself; nil leaves the members to
-// operators (`cactusctl replica`).
+// Group makes the replicas manage their membership themselves. If it is nil, operators do so with
+// `cactusctl replica`.
 type Group struct {
-	// Tolerate is how many members may be lost at once.
+	// Tolerate is the number of members that may fail at the same time.
 	Tolerate int
-	// Control reaches the other replicas.
+	// Control connects to the other replicas.
 	Control *controlclient.Client
 }
 
 func (g *Group) voters() int { return 2*g.Tolerate + 1 }
 
-var errGroupForming = errors.New("the control group is not complete yet: it has too few voters to bear the losses that the settings name; ask again in a second")
+var errGroupIncomplete = errors.New("the control group is incomplete: it has too few voters to tolerate the number of failures in the settings; retry in a second")
 
-// complete reports whether a leader with status s may accept changes. Until the
-// group has all its voters, a committed entry may be stored on too few disks to
-// survive the loss of Tolerate members. A membership change affects at most one
-// voter, so with an extra voter the latest one need not be committed yet.
+// complete reports whether a leader with status s may accept changes. Until the group has all its
+// voters, a committed entry may be stored on too few disks to survive the loss of Tolerate members.
+// A membership change affects at most one voter, so with an extra voter the latest one need not be
+// committed yet.
 func (g *Group) complete(s consensus.Status) bool {
 	if g == nil {
 		return true
@@ -64,13 +63,13 @@
 	return voters > g.voters() || voters == g.voters() && s.ConfigCommitted
 }
 
-// runGroup asks to join while this replica is no member, and keeps the members
-// as they should be while it leads.
-func (r *Replica) runGroup(ctx context.Context) {
+// manageMembership requests to join while this replica is not a member, and reconciles the members
+// while it leads.
+func (r *Replica) manageMembership(ctx context.Context) {
 	if r.options.Group == nil {
 		return
 	}
-	ticker := time.NewTicker(groupInterval)
+	ticker := time.NewTicker(membershipInterval)
 	defer ticker.Stop()
 	lastJoin := time.Time{}
 	for {
@@ -82,24 +81,24 @@
 		s := r.Status()
 		switch {
 		case s.Role == consensus.Leader:
-			r.keepMembers(ctx)
-		case r.outside(s) && time.Since(lastJoin) >= joinInterval:
+			r.reconcileMembers(ctx)
+		case r.mayNeedToJoin(s) && time.Since(lastJoin) >= joinInterval:
 			lastJoin = time.Now()
-			r.askToJoin(ctx)
+			r.requestJoin(ctx)
 		}
 	}
 }
 
-// outside tells whether this replica is no member, or may have been taken out
-// while it was away: then nobody sends it the change that says so.
-func (r *Replica) outside(s consensus.Status) bool {
+// mayNeedToJoin reports whether this replica is not a member, or may have been removed while it was
+// disconnected. In the latter case, no other replica sends it the membership change.
+func (r *Replica) mayNeedToJoin(s consensus.Status) bool {
 	if consensus.FindMember(s.Membership, s.ID) == nil {
 		return true
 	}
-	return time.Duration(s.LeaderSilent)*r.options.Tick > 2*silentAfter
+	return time.Duration(s.LeaderSilent)*r.options.Tick > 2*silenceTimeout
 }
 
-func (r *Replica) askToJoin(ctx context.Context) {
+func (r *Replica) requestJoin(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	req := &apiv1.JoinRequest{MemberId: r.identity.MemberID, Name: r.options.Name, Address: r.options.Address}
@@ -110,13 +109,13 @@
 		_, err := c.Log.Join(ctx, connect.NewRequest(req))
 		return err
 	})
-	r.joinState.report(err)
+	r.joinLog.logResult(err)
 }
 
-// joinReporter logs the first failure in a row and the success after it.
-type joinReporter struct{ failing bool }
+// joinLogger logs the first of consecutive failures and the first success after them.
+type joinLogger struct{ failing bool }
 
-func (j *joinReporter) report(err error) {
+func (j *joinLogger) logResult(err error) {
 	if (err != nil) == j.failing {
 		return
 	}
@@ -125,37 +124,37 @@
 		klog.InfoS("Waiting to be admitted to the control group", "err", err)
 		return
 	}
-	klog.InfoS("Asked to be admitted to the control group")
+	klog.InfoS("Requested to be admitted to the control group")
 }
 
-// Join takes in a replica that wants to be a member.
-func (s logService) Join(_ context.Context, req *connect.Request[apiv1.JoinRequest]) (*connect.Response[apiv1.JoinResponse], error) {
+// Join registers a replica that requests to join the group.
+func (s replicaService) Join(_ context.Context, req *connect.Request[apiv1.JoinRequest]) (*connect.Response[apiv1.JoinResponse], error) {
 	r, m := s.r, req.Msg
 	if r.options.Group == nil {
-		return nil, fault.New(fault.Invalid, errors.New("members of this group are chosen by operators; run `cactusctl replica add`"))
+		return nil, fault.New(fault.Invalid, errors.New("operators manage the members of this group; run `cactusctl replica add`"))
 	}
-	if err := (control{r}).leading(); err != nil {
+	if err := (controlService{r}).requireLeader(); err != nil {
 		return nil, err
 	}
 	if consensus.FindMember(r.Status().Membership, m.MemberId) != nil {
 		return connect.NewResponse(&apiv1.JoinResponse{Member: true}), nil
 	}
-	r.joiners.put(&apiv1.Member{Id: m.MemberId, Name: m.Name, Address: m.Address})
+	r.joinRequests.put(&apiv1.Member{Id: m.MemberId, Name: m.Name, Address: m.Address})
 	return connect.NewResponse(&apiv1.JoinResponse{}), nil
 }
 
-// keepMembers makes at most one change of members.
-func (r *Replica) keepMembers(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, groupInterval)
+// reconcileMembers proposes at most one membership change.
+func (r *Replica) reconcileMembers(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, membershipInterval)
 	defer cancel()
-	_ = r.inLoop(ctx, func() {
-		change := planMembers(r.raft.Status(), r.joiners.waiting(), r.options.Group.voters(), r.options.Tick)
+	_ = r.runInLoop(ctx, func() {
+		change := planMembers(r.raft.Status(), r.joinRequests.pending(), r.options.Group.voters(), r.options.Tick)
 		if change == nil {
 			return
 		}
 		_, _, err := change.propose(r.raft)
 		klog.InfoS("Change of control members", "replica", r.options.Name, "action", change.action.String(), "member", change.member.Name,
-			"address", change.member.Address, "why", change.why, "err", err)
+			"address", change.member.Address, "why", change.reason, "err", err)
 	})
 }
 
@@ -172,7 +171,7 @@
 type memberChange struct {
 	action memberAction
 	member *apiv1.Member
-	why    string
+	reason string
 }
 
 func (c *memberChange) propose(raft *consensus.Raft) (index, term uint64, err error) {
@@ -186,44 +185,45 @@
 	}
 }
 
-// planMembers decides on the next change of members, or nil. It is a function
-// of the leader's view only, so that each rule can be tested by itself.
-func planMembers(s consensus.Status, joiners []*apiv1.Member, wanted int, tick time.Duration) *memberChange {
+// planMembers returns the next membership change, or nil if none is needed. It depends only on the
+// leader's view, so that each rule can be tested separately.
+func planMembers(s consensus.Status, joinRequests []*apiv1.Member, wanted int, tick time.Duration) *memberChange {
 	if s.Role != consensus.Leader || !s.ConfigCommitted {
 		return nil
 	}
-	silent := func(m *apiv1.Member) time.Duration { return time.Duration(s.Silent[m.Id]) * tick }
-	var lost, learner *apiv1.Member
+	silence := func(m *apiv1.Member) time.Duration { return time.Duration(s.Silent[m.Id]) * tick }
+	var silentVoter, learner *apiv1.Member
 	for _, m := range s.Membership.GetMembers() {
 		switch {
-		case m.Learner && silent(m) > forgetLearnerAfter:
-			return &memberChange{remove, m, "a learner that does not answer"}
+		case m.Learner && silence(m) > learnerRemovalTimeout:
+			return &memberChange{remove, m, "the learner does not respond"}
 		case m.Learner:
-			if caughtUp(s, m) && silent(m) < silentAfter && learner == nil {
+			if caughtUp(s, m) && silence(m) < silenceTimeout && learner == nil {
 				learner = m
 			}
-		case m.Id != s.ID && silent(m) >= silentAfter && (lost == nil || silent(m) > silent(lost)):
-			lost = m
+		case m.Id != s.ID && silence(m) >= silenceTimeout && (silentVoter == nil || silence(m) > silence(silentVoter)):
+			silentVoter = m
 		}
 	}
-	if s.Voters() > wanted && lost != nil {
-		return &memberChange{remove, lost, "silent, and another votes in its place"}
+	if s.Voters() > wanted && silentVoter != nil {
+		return &memberChange{remove, silentVoter, "silent, and replaced by another voter"}
 	}
 	if learner != nil && s.Voters() < wanted {
 		return &memberChange{promote, learner, "too few voters"}
 	}
-	if learner != nil && lost != nil && s.Voters() == wanted {
-		return &memberChange{promote, learner, "stands in for " + lost.Name}
+	if learner != nil && silentVoter != nil && s.Voters() == wanted {
+		return &memberChange{promote, learner, "replaces the silent voter " + silentVoter.Name}
 	}
-	for _, m := range joiners {
+	for _, m := range joinRequests {
 		if consensus.FindMember(s.Membership, m.Id) == nil && len(s.Membership.GetMembers()) < maxMembers {
-			return &memberChange{admit, m, "asked to join"}
+			return &memberChange{admit, m, "requested to join"}
 		}
 	}
 	return nil
 }
 
-// caughtUp: the learner holds all but a few entries. The core checks it again.
+// caughtUp reports whether a learner lacks at most a few entries. The consensus core checks this
+// again on promotion.
 func caughtUp(s consensus.Status, m *apiv1.Member) bool {
 	return s.Match[m.Id] > 0 && s.Match[m.Id]+consensus.CatchUpSlack >= s.LastIndex
 }
--- a/internal/replica/peers.go
+++ b/internal/replica/peers.go
@@ -14,31 +14,32 @@
 )
 
 const (
-	peerQueue = 128
-	// stepTimeout bounds one message to a peer, so that a link that went silent
-	// is dialled anew before a follower behind it would stand for election.
+	peerQueueSize = 128
+	// stepTimeout limits the time to send messages to a peer. It is short enough that a follower
+	// behind a silent link receives messages over a new connection before it starts an election.
 	stepTimeout = 700 * time.Millisecond
-	// snapshotTimeout bounds one that carries a snapshot, which is megabytes.
+	// snapshotTimeout is the limit for messages with a snapshot, which has megabytes.
 	snapshotTimeout = 5 * time.Second
 )
 
-// peers sends messages to the other replicas, one sender each, so that a slow
-// or frozen peer holds up no other. Messages that do not fit are dropped: the
-// algorithm sends again.
+// peers sends messages to the other replicas. Each peer has its own sender, so that a slow or
+// frozen peer does not delay the others. Messages that do not fit into a queue are dropped; the
+// consensus algorithm retransmits them.
 type peers struct {
 	security *transport.Security
 	counters *counters
 	ctx      context.Context
 	cancel   context.CancelFunc
-	wait     sync.WaitGroup
+	wg       sync.WaitGroup
 	senders  map[uint64]*sender
-	// self is sent along, so that a newcomer knows where to answer.
-	self        uint64
+	// selfID and selfAddress are included in each request, so that a new member knows where to
+	// reply.
+	selfID      uint64
 	selfAddress string
-	// heard are the addresses that other replicas named themselves by. Guarded
-	// by mu, since connections hear and the run loop sends.
-	mu    sync.Mutex
-	heard map[uint64]string
+	// learnedAddresses are the addresses that other replicas sent for themselves. mu guards them,
+	// since connection handlers write and the run loop reads.
+	mu               sync.Mutex
+	learnedAddresses map[uint64]string
 }
 
 type sender struct {
@@ -47,30 +48,30 @@
 	stop    context.CancelFunc
 }
 
-func newPeers(security *transport.Security, counters *counters, self uint64, address string) *peers {
+func newPeers(security *transport.Security, counters *counters, selfID uint64, address string) *peers {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &peers{security: security, counters: counters, ctx: ctx, cancel: cancel, senders: map[uint64]*sender{}, self: self, selfAddress: address, heard: map[uint64]string{}}
+	return &peers{security: security, counters: counters, ctx: ctx, cancel: cancel, senders: map[uint64]*sender{}, selfID: selfID, selfAddress: address, learnedAddresses: map[uint64]string{}}
 }
 
-// hear notes where a replica is reached.
-func (p *peers) hear(id uint64, address string) {
+// recordAddress stores the address that a replica sent for itself.
+func (p *peers) recordAddress(id uint64, address string) {
 	if address == "" {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.heard[id] = address
+	p.learnedAddresses[id] = address
 }
 
-// address is where a member is reached: as the members say, or, before this
-// replica knows them, as the sender said itself.
+// address returns the address of a member according to the membership. As long as this replica does
+// not know the member, it returns the address that the member sent.
 func (p *peers) address(id uint64, members *apiv1.Membership) string {
 	if m := consensus.FindMember(members, id); m != nil {
 		return m.Address
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.heard[id]
+	return p.learnedAddresses[id]
 }
 
 func (p *peers) send(messages []*apiv1.RaftMessage, members *apiv1.Membership) {
@@ -98,29 +99,29 @@
 		s.stop()
 	}
 	ctx, stop := context.WithCancel(p.ctx)
-	s = &sender{address: address, queue: make(chan *apiv1.RaftMessage, peerQueue), stop: stop}
+	s = &sender{address: address, queue: make(chan *apiv1.RaftMessage, peerQueueSize), stop: stop}
 	p.senders[id] = s
 	client := apiv1connect.NewReplicaServiceClient(p.security.ControlClient(&p.counters.traffic), p.security.URL(address))
-	p.wait.Add(1)
+	p.wg.Add(1)
 	go p.run(ctx, s, client)
 	return s
 }
 
 func (p *peers) run(ctx context.Context, s *sender, client apiv1connect.ReplicaServiceClient) {
-	defer p.wait.Done()
+	defer p.wg.Done()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case m := <-s.queue:
-			p.post(ctx, client, batch(m, s.queue))
+			p.sendBatch(ctx, client, nextBatch(m, s.queue))
 		}
 	}
 }
 
-func batch(first *apiv1.RaftMessage, queue <-chan *apiv1.RaftMessage) []*apiv1.RaftMessage {
+func nextBatch(first *apiv1.RaftMessage, queue <-chan *apiv1.RaftMessage) []*apiv1.RaftMessage {
 	messages := []*apiv1.RaftMessage{first}
-	for len(messages) < peerQueue {
+	for len(messages) < peerQueueSize {
 		select {
 		case m := <-queue:
 			messages = append(messages, m)
@@ -131,7 +132,7 @@
 	return messages
 }
 
-func (p *peers) post(ctx context.Context, client apiv1connect.ReplicaServiceClient, messages []*apiv1.RaftMessage) {
+func (p *peers) sendBatch(ctx context.Context, client apiv1connect.ReplicaServiceClient, messages []*apiv1.RaftMessage) {
 	timeout := stepTimeout
 	for _, m := range messages {
 		if m.Snapshot != nil {
@@ -140,12 +141,12 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	if _, err := client.Step(ctx, connect.NewRequest(&apiv1.StepRequest{Messages: messages, From: p.self, FromAddress: p.selfAddress})); err != nil {
+	if _, err := client.Step(ctx, connect.NewRequest(&apiv1.StepRequest{Messages: messages, From: p.selfID, FromAddress: p.selfAddress})); err != nil {
 		p.counters.messagesFailed.Add(int64(len(messages)))
 	}
 }
 
 func (p *peers) close() {
 	p.cancel()
-	p.wait.Wait()
+	p.wg.Wait()
 }
--- a/internal/replica/presence.go
+++ b/internal/replica/presence.go
@@ -15,40 +15,40 @@
 	"github.com/cockroachdb/errors"
 )
 
-// presence holds what nodes said of themselves, for nodes that have just started
-// and have no relay yet: choosing relays needs a leader, and after a restart of
-// everything there is none for a second. It is soft state that every replica has
-// for itself; a claim that is out of date costs its reader one refused attempt.
-// Safe for concurrent use.
+// presence holds the announcements of nodes for nodes that have just started and have no relay yet.
+// Choosing relays needs a leader, and after a restart of the whole system there is none for about a
+// second. Each replica has its own presence, which is not stored or replicated; an outdated entry
+// costs the node that uses it one refused attempt. presence is safe for concurrent use.
 //
-// A node that waits for a relay asks many times a second. It gets what changed
-// since it last asked: with all claims each time, 300 nodes that started together
-// took 1.6 MB a second from each replica.
+// A node that waits for a relay polls many times per second. It receives only the changes since its
+// last poll: when each poll returned all entries, 300 nodes that started together received 1.6 MB
+// per second from each replica.
 type presence struct {
-	// process tells this presence from that of the replica's process before.
+	// process distinguishes this presence from that of an earlier process of the replica.
 	process uint64
 
-	mu     sync.Mutex
-	claims recent[string, claimed]
-	// version counts the changes.
+	mu      sync.Mutex
+	entries expiringMap[string, versionedEntry]
+	// version is the number of changes so far.
 	version uint64
 }
 
-type claimed struct {
+type versionedEntry struct {
 	entry *apiv1.Entry
-	// version is that of the claim's last change.
+	// version is the version of presence at the last change of the entry.
 	version uint64
 }
 
 const (
-	// presenceLife is how long a claim counts: three of the nodes' announcements.
-	presenceLife = 90 * time.Second
-	// maxPresence bounds the claims: fleets beyond it are served by their relays.
-	maxPresence = 2 * maxWatchers
+	// presenceTTL is how long an announcement is valid. It spans three announcements of a node.
+	presenceTTL = 90 * time.Second
+	// maxPresenceEntries limits the number of entries. In larger fleets, relays provide the
+	// entries.
+	maxPresenceEntries = 2 * maxWatchers
 )
 
 func newPresence() *presence {
-	return &presence{process: rand.Uint64(), claims: newRecent[string, claimed](presenceLife)}
+	return &presence{process: rand.Uint64(), entries: newExpiringMap[string, versionedEntry](presenceTTL)}
 }
 
 func (p *presence) put(e *apiv1.Entry) {
@@ -57,38 +57,38 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	held, known := p.claims.held(e.Host)
-	if known && !directory.Newer(e, held.entry) {
-		p.claims.put(e.Host, held)
+	latest, found := p.entries.latest(e.Host)
+	if found && !directory.Newer(e, latest.entry) {
+		p.entries.put(e.Host, latest)
 		return
 	}
-	if !known && len(p.claims.byKey) >= maxPresence {
+	if !found && len(p.entries.byKey) >= maxPresenceEntries {
 		return
 	}
 	p.version++
-	p.claims.put(e.Host, claimed{entry: e, version: p.version})
+	p.entries.put(e.Host, versionedEntry{entry: e, version: p.version})
 }
 
-// since lists the claims that changed after the cursor, by host, and up to where
-// that tells. Without a cursor of this process it lists all of nodes that are there;
-// with one also those that have gone.
-func (p *presence) since(heard *apiv1.ClaimCursor) ([]*apiv1.Entry, *apiv1.ClaimCursor) {
+// changedSince returns the entries that changed after the cursor, sorted by host, and the new
+// cursor. Without a cursor of this process, it returns the entries of all nodes that have not
+// departed or failed. With a cursor, it also returns the entries of those that have.
+func (p *presence) changedSince(cursor *apiv1.ClaimCursor) ([]*apiv1.Entry, *apiv1.ClaimCursor) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	after := uint64(0)
-	if heard.GetProcess() == p.process {
-		after = heard.GetVersion()
+	if cursor.GetProcess() == p.process {
+		after = cursor.GetVersion()
 	}
-	news := func(c claimed) bool { return c.version > after && (after > 0 || !directory.Gone(c.entry)) }
+	include := func(c versionedEntry) bool { return c.version > after && (after > 0 || !directory.Gone(c.entry)) }
 	var list []*apiv1.Entry
-	for _, c := range p.claims.list(news) {
+	for _, c := range p.entries.list(include) {
 		list = append(list, c.entry)
 	}
 	return list, &apiv1.ClaimCursor{Process: p.process, Version: p.version}
 }
 
-// Announce takes in a node's claim.
-func (c control) Announce(_ context.Context, req *connect.Request[apiv1.AnnounceRequest]) (*connect.Response[apiv1.AnnounceResponse], error) {
+// Announce stores a node's entry.
+func (c controlService) Announce(_ context.Context, req *connect.Request[apiv1.AnnounceRequest]) (*connect.Response[apiv1.AnnounceResponse], error) {
 	if req.Msg.Entry == nil {
 		return nil, fault.New(fault.Invalid, errors.New("the announcement has no entry; both processes must run the same release"))
 	}
--- a/internal/replica/presence_test.go
+++ b/internal/replica/presence_test.go
@@ -9,7 +9,7 @@
 	apiv1 "cactuspath/api/cactuspath/v1"
 )
 
-func claim(host string, incarnation uint64, state apiv1.EndpointState) *apiv1.Entry {
+func newEntry(host string, incarnation uint64, state apiv1.EndpointState) *apiv1.Entry {
 	return &apiv1.Entry{Host: host, Incarnation: incarnation, State: state}
 }
 
@@ -23,38 +23,38 @@
 
 const serving, departed = apiv1.EndpointState_ENDPOINT_STATE_SERVING, apiv1.EndpointState_ENDPOINT_STATE_DEPARTED
 
-// A node that waits for its relay asks twenty times a second. It must hear of each
-// other node once, and of a change to it, not of all of them each time.
-func TestWaitingNodeHearsOfEachChangeOnce(t *testing.T) {
+// Guards against sending all entries on each poll to a node that waits for its relay, which polls
+// twenty times per second. Each entry must be sent once, and again after a change.
+func TestWaitingNodeReceivesEachChangeOnce(t *testing.T) {
 	p := newPresence()
-	p.put(claim("a", 1, serving))
-	p.put(claim("b", 1, serving))
-	list, heard := p.since(nil)
+	p.put(newEntry("a", 1, serving))
+	p.put(newEntry("b", 1, serving))
+	list, cursor := p.changedSince(nil)
 	assert.DeepEqual(t, hosts(list), []string{"a", "b"})
-	list, heard = p.since(heard)
+	list, cursor = p.changedSince(cursor)
 	assert.DeepEqual(t, hosts(list), []string{})
-	p.put(claim("a", 1, serving))
-	p.put(claim("b", 2, serving))
-	p.put(claim("c", 1, serving))
-	list, heard = p.since(heard)
+	p.put(newEntry("a", 1, serving))
+	p.put(newEntry("b", 2, serving))
+	p.put(newEntry("c", 1, serving))
+	list, cursor = p.changedSince(cursor)
 	assert.DeepEqual(t, hosts(list), []string{"b", "c"})
-	p.put(claim("b", 3, departed))
-	list, _ = p.since(heard)
+	p.put(newEntry("b", 3, departed))
+	list, _ = p.changedSince(cursor)
 	assert.DeepEqual(t, hosts(list), []string{"b"})
-	list, _ = p.since(nil)
+	list, _ = p.changedSince(nil)
 	assert.DeepEqual(t, hosts(list), []string{"a", "c"})
 }
 
-// The replica starts again and counts from the beginning. A cursor of its process
-// before must not hide what it is told anew.
-func TestCursorOfAnEarlierProcessHidesNothing(t *testing.T) {
+// Guards against a restarted replica, whose versions start at zero again, hiding entries from a
+// node whose cursor is from the earlier process.
+func TestCursorOfEarlierProcessHidesNothing(t *testing.T) {
 	before := newPresence()
 	for i := range 50 {
-		before.put(claim(fmt.Sprint(i), 1, serving))
+		before.put(newEntry(fmt.Sprint(i), 1, serving))
 	}
-	_, heard := before.since(nil)
+	_, cursor := before.changedSince(nil)
 	after := newPresence()
-	after.put(claim("a", 1, serving))
-	list, _ := after.since(heard)
+	after.put(newEntry("a", 1, serving))
+	list, _ := after.changedSince(cursor)
 	assert.DeepEqual(t, hosts(list), []string{"a"})
 }
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -12,10 +12,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-var errOutcomeUnknown = errors.New("the outcome is not known: the answer did not come in time; " +
+var errOutcomeUnknown = errors.New("the outcome is unknown: there was no answer in time; " +
 	"submit the same change id again, or run `cactusctl audit --change ID`")
 
-// propose has the replicas agree on a change and returns its record.
+// propose commits a change and returns its audit record.
 func (r *Replica) propose(ctx context.Context, change *apiv1.Change) (*apiv1.AuditRecord, error) {
 	data, err := proto.Marshal(change)
 	if err != nil {
@@ -23,25 +23,25 @@
 	}
 	answer := make(chan *apiv1.AuditRecord, 1)
 	var proposeErr error
-	err = r.inLoop(ctx, func() {
+	err = r.runInLoop(ctx, func() {
 		s := r.raft.Status()
 		// Only the leader checks completeness: a follower may not know yet that a
 		// membership change is committed. On other replicas, Propose returns ErrNotLeader.
 		if s.Role == consensus.Leader && !r.options.Group.complete(s) {
-			proposeErr = errGroupForming
+			proposeErr = errGroupIncomplete
 			return
 		}
 		var index, term uint64
 		index, term, proposeErr = r.raft.Propose(data)
 		if proposeErr == nil {
-			r.waiters[index] = waiter{term: term, done: answer}
+			r.proposals[index] = pendingProposal{term: term, done: answer}
 		}
 	})
 	if err == nil {
 		err = proposeErr
 	}
 	if err != nil {
-		return nil, r.refusal(err)
+		return nil, r.toFault(err)
 	}
 	select {
 	case record := <-answer:
@@ -56,23 +56,23 @@
 	}
 }
 
-// confirm waits until this replica is known to lead and has applied all that
-// was agreed when the call came. A replica that a partition cut off fails
-// here, so that it never passes an old revision for the newest.
-func (r *Replica) confirm(ctx context.Context) error {
+// readBarrier waits until a majority confirms that this replica leads and until it has applied all
+// entries that were committed before the call. It fails on a replica that is cut off by a
+// partition, so that this replica never returns an old revision as the newest.
+func (r *Replica) readBarrier(ctx context.Context) error {
 	answer := make(chan consensus.Read, 1)
 	var readErr error
-	err := r.inLoop(ctx, func() {
-		r.nextRead++
-		if readErr = r.raft.Read(r.nextRead); readErr == nil {
-			r.reads[r.nextRead] = answer
+	err := r.runInLoop(ctx, func() {
+		r.lastReadID++
+		if readErr = r.raft.Read(r.lastReadID); readErr == nil {
+			r.reads[r.lastReadID] = answer
 		}
 	})
 	if err == nil {
 		err = readErr
 	}
 	if err != nil {
-		return r.refusal(err)
+		return r.toFault(err)
 	}
 	select {
 	case read := <-answer:
@@ -81,7 +81,7 @@
 		}
 		return r.waitApplied(ctx, read.Index)
 	case <-ctx.Done():
-		return fault.New(fault.Unavailable, errors.New("the leader could not confirm that it still leads; ask again"))
+		return fault.New(fault.Unavailable, errors.New("the leader could not confirm that it still leads; retry"))
 	case <-r.done:
 		return fault.New(fault.Unavailable, errStopped)
 	}
@@ -105,8 +105,8 @@
 	}
 }
 
-// refusal turns an error of the core into its wire form.
-func (r *Replica) refusal(err error) error {
+// toFault converts an error of the consensus core to an error for the client.
+func (r *Replica) toFault(err error) error {
 	switch {
 	case errors.Is(err, consensus.ErrNotLeader):
 		return fault.NotLeaderAt(r.leaderAddress())
--- a/internal/replica/propose_test.go
+++ b/internal/replica/propose_test.go
@@ -31,11 +31,11 @@
 }
 
 // newTestReplica returns a replica without storage or peers. A goroutine runs the
-// functions passed to inLoop until the test ends.
+// functions passed to runInLoop until the test ends.
 func newTestReplica(t *testing.T, group *Group, raft *consensus.Raft) *Replica {
 	t.Helper()
-	r := &Replica{options: Options{Group: group}, raft: raft, calls: make(chan func()), done: make(chan struct{}), waiters: map[uint64]waiter{}, relays: newRelayTable()}
-	r.publish()
+	r := &Replica{options: Options{Group: group}, raft: raft, calls: make(chan func()), done: make(chan struct{}), proposals: map[uint64]pendingProposal{}, relays: newRelayTable()}
+	r.publishStatus()
 	go func() {
 		for call := range r.calls {
 			call()
@@ -91,7 +91,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
-			s := leading(c.members...)
+			s := newLeaderStatus(c.members...)
 			s.ConfigCommitted = c.committed
 			assert.Equal(t, (&Group{Tolerate: 1}).complete(s), c.complete)
 		})
--- a/internal/replica/queries.go
+++ b/internal/replica/queries.go
@@ -11,21 +11,21 @@
 	"cactuspath/core/estate"
 )
 
-// queries serves apiv1connect.OperatorQueryServiceHandler. Answers that speak
-// of the newest state are confirmed first.
-type queries struct{ r *Replica }
+// queryService implements apiv1connect.OperatorQueryServiceHandler. Queries for the newest state
+// pass a read barrier first.
+type queryService struct{ r *Replica }
 
 const maxAuditRecords = 1000
 
-// Check reports a text's faults. It changes nothing.
-func (q queries) Check(_ context.Context, req *connect.Request[apiv1.CheckRequest]) (*connect.Response[apiv1.CheckResponse], error) {
+// Check returns the problems of a text. It changes nothing.
+func (q queryService) Check(_ context.Context, req *connect.Request[apiv1.CheckRequest]) (*connect.Response[apiv1.CheckResponse], error) {
 	_, problems := estate.Parse(req.Msg.Text)
 	return connect.NewResponse(&apiv1.CheckResponse{Problems: estate.Problems(problems)}), nil
 }
 
-// Status sums up where the newest revision is in force.
-func (q queries) Status(ctx context.Context, _ *connect.Request[apiv1.StatusRequest]) (*connect.Response[apiv1.StatusResponse], error) {
-	if err := q.r.confirm(ctx); err != nil {
+// Status summarizes where the newest revision is in force.
+func (q queryService) Status(ctx context.Context, _ *connect.Request[apiv1.StatusRequest]) (*connect.Response[apiv1.StatusResponse], error) {
+	if err := q.r.readBarrier(ctx); err != nil {
 		return nil, err
 	}
 	resp := &apiv1.StatusResponse{Log: q.r.logStatus()}
@@ -34,13 +34,13 @@
 	resp.Hosts = q.r.state.Records().Hosts()
 	resp.DataCenters = q.r.state.Records().DataCenters()
 	q.r.mu.RUnlock()
-	q.r.relays.summary(resp.Revision, resp)
+	q.r.relays.summarize(resp.Revision, resp)
 	return connect.NewResponse(resp), nil
 }
 
-// Show returns an institution's newest accepted text.
-func (q queries) Show(ctx context.Context, req *connect.Request[apiv1.ShowRequest]) (*connect.Response[apiv1.ShowResponse], error) {
-	if err := q.r.confirm(ctx); err != nil {
+// Show returns the newest accepted text of an institution.
+func (q queryService) Show(ctx context.Context, req *connect.Request[apiv1.ShowRequest]) (*connect.Response[apiv1.ShowResponse], error) {
+	if err := q.r.readBarrier(ctx); err != nil {
 		return nil, err
 	}
 	q.r.mu.RLock()
@@ -56,9 +56,9 @@
 	return connect.NewResponse(resp), nil
 }
 
-// Audit returns decided changes, oldest first.
-func (q queries) Audit(ctx context.Context, req *connect.Request[apiv1.AuditRequest]) (*connect.Response[apiv1.AuditResponse], error) {
-	if err := q.r.confirm(ctx); err != nil {
+// Audit returns the records of decided changes, oldest first.
+func (q queryService) Audit(ctx context.Context, req *connect.Request[apiv1.AuditRequest]) (*connect.Response[apiv1.AuditResponse], error) {
+	if err := q.r.readBarrier(ctx); err != nil {
 		return nil, err
 	}
 	limit := int(req.Msg.Limit)
--- a/internal/replica/relays.go
+++ b/internal/replica/relays.go
@@ -11,40 +11,40 @@
 )
 
 const (
-	// relayLease is how long a relay counts without a sync.
+	// relayLease is how long a relay is valid after its last sync.
 	relayLease = 5 * time.Second
-	// nodesPerRelay is how many nodes one relay serves before its data centre
-	// gets another: it bounds a relay's bytes and processor time.
+	// nodesPerRelay is the number of nodes per relay above which a data centre gets another relay.
+	// It limits the bytes and processor time of a relay.
 	nodesPerRelay = 32
 	minRelays     = 2
-	// growInterval spaces the relays that a data centre is asked for: as long as
-	// one takes to report, so that it is not asked for twice.
-	growInterval = 3 * time.Second
-	// maxNamed bounds the nodes that a status names.
-	maxNamed = 64
+	// growthInterval is the minimum time between two requests for another relay in a data centre.
+	// It is as long as a new relay takes to report, so that none is requested twice.
+	growthInterval = 3 * time.Second
+	// maxBehindNodes limits the number of outdated nodes in a status.
+	maxBehindNodes = 64
 )
 
-// relayTable is what the leader knows of the relays and, through them, of the
-// nodes. It is soft state: a new leader starts empty and hears from every
-// relay within a second. Safe for concurrent use.
+// relayTable holds what the leader knows about the relays and, through them, about the nodes. It is
+// not stored or replicated: the table of a new leader is empty until the relays report, which takes
+// at most a second. It is safe for concurrent use.
 type relayTable struct {
 	mu     sync.Mutex
 	now    func() time.Time
 	relays map[string]*relayState
-	// asked is when a data centre was last asked for more relays.
-	asked map[string]time.Time
+	// lastGrowth is the time of the last request for another relay, by data centre.
+	lastGrowth map[string]time.Time
 }
 
 type relayState struct {
-	info   *apiv1.RelayInfo
-	report *apiv1.RelaySyncRequest
-	seen   time.Time
-	// granted: asked to become a relay and not heard from yet.
-	granted bool
+	info     *apiv1.RelayInfo
+	report   *apiv1.RelaySyncRequest
+	lastSeen time.Time
+	// pending marks a node that was told to become a relay and has not reported yet.
+	pending bool
 }
 
 func newRelayTable() *relayTable {
-	return &relayTable{now: time.Now, relays: map[string]*relayState{}, asked: map[string]time.Time{}}
+	return &relayTable{now: time.Now, relays: map[string]*relayState{}, lastGrowth: map[string]time.Time{}}
 }
 
 func (t *relayTable) reset() {
@@ -53,16 +53,16 @@
 	t.relays = map[string]*relayState{}
 }
 
-func (t *relayTable) expire() {
+func (t *relayTable) removeExpired() {
 	for host, r := range t.relays {
-		if t.now().Sub(r.seen) > relayLease {
+		if t.now().Sub(r.lastSeen) > relayLease {
 			delete(t.relays, host)
 		}
 	}
 }
 
-// wanted is how many relays a data centre should have.
-func (t *relayTable) wanted(dataCenter string) int {
+// wantedRelays returns the number of relays that a data centre should have.
+func (t *relayTable) wantedRelays(dataCenter string) int {
 	nodes := 0
 	for _, r := range t.relays {
 		if r.info.DataCenter == dataCenter {
@@ -72,7 +72,7 @@
 	return max(minRelays, (nodes+nodesPerRelay-1)/nodesPerRelay)
 }
 
-func (t *relayTable) of(dataCenter string) []*relayState {
+func (t *relayTable) inDataCenter(dataCenter string) []*relayState {
 	var list []*relayState
 	for _, r := range t.relays {
 		if r.info.DataCenter == dataCenter {
@@ -83,47 +83,47 @@
 	return list
 }
 
-// find answers a node that looks for a relay. The node itself becomes one when
-// its data centre has too few, not counting those it could not reach.
-func (t *relayTable) find(req *apiv1.FindRelaysRequest) *apiv1.FindRelaysResponse {
+// assign answers a node that needs a relay. The node itself becomes a relay if its data centre
+// has too few, not counting those that the node could not reach.
+func (t *relayTable) assign(req *apiv1.FindRelaysRequest) *apiv1.FindRelaysResponse {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.expire()
+	t.removeExpired()
 	unreachable := map[string]bool{}
 	for _, host := range req.Unreachable {
 		unreachable[host] = true
 	}
 	resp := &apiv1.FindRelaysResponse{}
 	usable := 0
-	for _, r := range t.of(req.DataCenter) {
+	for _, r := range t.inDataCenter(req.DataCenter) {
 		if r.info.Host == req.Host || !unreachable[r.info.Host] {
 			usable++
 		}
 		resp.Relays = append(resp.Relays, r.info)
 	}
-	if usable < t.wanted(req.DataCenter) {
+	if usable < t.wantedRelays(req.DataCenter) {
 		resp.BecomeRelay = true
 		info := &apiv1.RelayInfo{Host: req.Host, PeerAddress: req.PeerAddress, DataCenter: req.DataCenter, Region: req.Region}
-		t.relays[req.Host] = &relayState{info: info, seen: t.now(), granted: true}
+		t.relays[req.Host] = &relayState{info: info, lastSeen: t.now(), pending: true}
 	}
 	return resp
 }
 
-// advice is what the leader tells a relay of its data centre.
+// advice tells a relay how to change the number of relays in its data centre.
 type advice struct {
-	// stepDown: there are relays enough without this one.
+	// stepDown means that there are enough other relays.
 	stepDown bool
-	// more is how many of the relay's nodes are to become relays.
-	more uint32
+	// moreRelays is the number of the relay's nodes that should become relays.
+	moreRelays uint32
 }
 
-// sync takes in a relay's report and returns all relays, and what follows for
-// the number of relays in its data centre.
+// sync stores a relay's report. It returns all relays, the digest of this list, and advice on the
+// number of relays in the data centre.
 func (t *relayTable) sync(req *apiv1.RelaySyncRequest) (list []*apiv1.RelayInfo, digest uint64, a advice) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.expire()
-	t.relays[req.Relay.Host] = &relayState{info: req.Relay, report: req, seen: t.now()}
+	t.removeExpired()
+	t.relays[req.Relay.Host] = &relayState{info: req.Relay, report: req, lastSeen: t.now()}
 	a = t.advise(req.Relay)
 	if a.stepDown {
 		delete(t.relays, req.Relay.Host)
@@ -132,19 +132,19 @@
 	return list, RelaysDigest(list), a
 }
 
-// advise keeps the number of relays near what the nodes need. The last relay in
-// order steps down, by a margin so that the number does not swing; the first
-// one is asked for another.
+// advise keeps the number of relays close to the wanted number. The last relay by host name steps
+// down if there are at least two too many, so that the number does not oscillate. The first relay
+// is asked to add one if there are too few.
 func (t *relayTable) advise(relay *apiv1.RelayInfo) advice {
-	peers := t.of(relay.DataCenter)
-	wanted := t.wanted(relay.DataCenter)
+	peers := t.inDataCenter(relay.DataCenter)
+	wantedRelays := t.wantedRelays(relay.DataCenter)
 	first, last := peers[0].info.Host, peers[len(peers)-1].info.Host
 	switch {
-	case len(peers) > wanted+1 && last == relay.Host:
+	case len(peers) > wantedRelays+1 && last == relay.Host:
 		return advice{stepDown: true}
-	case len(peers) < wanted && first == relay.Host && t.now().Sub(t.asked[relay.DataCenter]) > growInterval:
-		t.asked[relay.DataCenter] = t.now()
-		return advice{more: 1}
+	case len(peers) < wantedRelays && first == relay.Host && t.now().Sub(t.lastGrowth[relay.DataCenter]) > growthInterval:
+		t.lastGrowth[relay.DataCenter] = t.now()
+		return advice{moreRelays: 1}
 	}
 	return advice{}
 }
@@ -152,7 +152,7 @@
 func (t *relayTable) list() []*apiv1.RelayInfo {
 	list := make([]*apiv1.RelayInfo, 0, len(t.relays))
 	for _, r := range t.relays {
-		if !r.granted {
+		if !r.pending {
 			list = append(list, r.info)
 		}
 	}
@@ -160,7 +160,7 @@
 	return list
 }
 
-// RelaysDigest identifies a list of relays, without their node counts.
+// RelaysDigest returns a digest of a list of relays, without their node counts.
 func RelaysDigest(list []*apiv1.RelayInfo) uint64 {
 	h := xxhash.New()
 	for _, r := range list {
@@ -169,11 +169,11 @@
 	return h.Sum64()
 }
 
-// summary adds up what the relays reported about a revision.
-func (t *relayTable) summary(revision uint64, resp *apiv1.StatusResponse) {
+// summarize adds the relays' reports about a revision to resp.
+func (t *relayTable) summarize(revision uint64, resp *apiv1.StatusResponse) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.expire()
+	t.removeExpired()
 	resp.Relays = t.list()
 	for _, r := range t.relays {
 		if r.report == nil {
@@ -185,7 +185,7 @@
 			resp.InForce += r.report.InForce
 		}
 		for _, n := range r.report.Behind {
-			if n.Revision < revision && len(resp.Behind) < maxNamed {
+			if n.Revision < revision && len(resp.Behind) < maxBehindNodes {
 				resp.Behind = append(resp.Behind, n)
 			}
 		}
--- a/internal/replica/relays_test.go
+++ b/internal/replica/relays_test.go
@@ -21,31 +21,31 @@
 	return &apiv1.RelaySyncRequest{Relay: &apiv1.RelayInfo{Host: host, DataCenter: "dc", PeerAddress: host, Nodes: nodes}, Nodes: nodes}
 }
 
-// A whole data centre restarts and every node asks for a relay. Two become
-// relays; the others are told of them and do not all report to the replicas.
-func TestFirstAskersBecomeRelays(t *testing.T) {
+// Guards against all nodes of a data centre reporting to the replicas after a restart of the whole
+// data centre. Two nodes must become relays, and the others must be referred to them.
+func TestFirstNodesBecomeRelays(t *testing.T) {
 	table, _ := newTestTable()
 	became := 0
 	for i := range 400 {
-		if table.find(&apiv1.FindRelaysRequest{Host: fmt.Sprint(i), DataCenter: "dc"}).BecomeRelay {
+		if table.assign(&apiv1.FindRelaysRequest{Host: fmt.Sprint(i), DataCenter: "dc"}).BecomeRelay {
 			became++
 		}
 	}
 	assert.Equal(t, became, minRelays)
 }
 
-// Nodes cannot reach the relays that the leader counts. They must get another,
-// however healthy the relays look to the leader.
+// Guards against counting relays that are valid for the leader but unreachable for the node that
+// needs one.
 func TestUnreachableRelaysDoNotCount(t *testing.T) {
 	table, _ := newTestTable()
 	table.sync(relaySync("a", 10))
 	table.sync(relaySync("b", 10))
-	resp := table.find(&apiv1.FindRelaysRequest{Host: "n", DataCenter: "dc", Unreachable: []string{"a", "b"}})
+	resp := table.assign(&apiv1.FindRelaysRequest{Host: "n", DataCenter: "dc", Unreachable: []string{"a", "b"}})
 	assert.Assert(t, resp.BecomeRelay)
 }
 
-// A data centre grew. One relay at a time is asked for, by its first relay
-// alone, until there are enough; none is asked for twice meanwhile.
+// Guards against adding relays too fast in a data centre that grew. One relay must be requested at
+// a time, only from the first relay, and none twice.
 func TestRelaysGrowWithNodes(t *testing.T) {
 	table, now := newTestTable()
 	asked := 0
@@ -53,15 +53,15 @@
 		*now = now.Add(time.Second)
 		for _, host := range []string{"a", "b"} {
 			_, _, a := table.sync(relaySync(host, 50))
-			assert.Assert(t, a.more == 0 || host == "a")
-			asked += int(a.more)
+			assert.Assert(t, a.moreRelays == 0 || host == "a")
+			asked += int(a.moreRelays)
 		}
 	}
 	assert.Equal(t, asked, 3)
 }
 
-// A relay that does not report for the length of its lease no longer counts,
-// and a data centre that shrank lets its last relay go.
+// Guards against counting relays that have not reported for the length of their lease, and against
+// keeping too many relays in a data centre that shrank.
 func TestRelaysExpireAndShrink(t *testing.T) {
 	table, now := newTestTable()
 	for _, host := range []string{"a", "b", "c", "d"} {
@@ -74,8 +74,8 @@
 	assert.Equal(t, len(list), 1)
 }
 
-// The status names who is behind, and counts only relays that have the revision
-// themselves.
+// Guards against a status that omits nodes with an old revision or counts nodes of relays that do
+// not have the revision.
 func TestSummary(t *testing.T) {
 	table, _ := newTestTable()
 	a := relaySync("a", 3)
@@ -86,7 +86,7 @@
 	b.Revision, b.InForce = 6, 2
 	table.sync(b)
 	resp := &apiv1.StatusResponse{}
-	table.summary(7, resp)
+	table.summarize(7, resp)
 	assert.Equal(t, resp.Nodes, uint32(5))
 	assert.Equal(t, resp.InForce, uint32(2))
 	assert.Equal(t, resp.Behind[0].Host, "x")
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,6 +1,5 @@
-// Package replica runs one control replica: it drives the consensus core with
-// a clock, a disk and peers, applies agreed changes to the estate, and serves
-// operators, nodes and relays.
+// Package replica runs a control replica. It drives the consensus core with a clock, a disk and
+// peers, applies committed changes to the estate, and serves operators, nodes and relays.
 package replica
 
 import (
@@ -23,31 +22,30 @@
 
 const (
 	tickInterval = 50 * time.Millisecond
-	// electionTicks and heartbeatTicks make a follower stand for election 0.7 to
-	// 1.4 s after the leader was last heard, and a leader step down 0.7 s after
-	// its majority: some five heartbeats, where links delay a few milliseconds.
-	electionTicks  = 14
-	heartbeatTicks = 3
-	inboxSize      = 256
-	maxBatch       = 256
+	// A follower starts an election 0.7 to 1.4 s after the last message of the leader, and a leader
+	// steps down after 0.7 s without its majority. This spans about five heartbeats on links with
+	// delays of a few milliseconds.
+	electionTicks     = 14
+	heartbeatTicks    = 3
+	inputQueueSize    = 256
+	maxInputsPerBatch = 256
 )
 
-// Options set up a replica.
+// Options configure a replica.
 type Options struct {
 	Name, Address string
 	DataFolder    string
 	Security      *transport.Security
 	Operators     []Operator
-	// DataCenters are those that may be evacuated; any if empty.
+	// DataCenters are the data centres that may be evacuated; any if empty.
 	DataCenters []string
-	// Tick is the length of one tick; 0 means the usual 50 ms.
+	// Tick is the duration of a tick; 0 means 50 ms.
 	Tick time.Duration
-	// Group, if not nil, has the members chosen by the replicas themselves.
+	// Group makes the replicas manage their membership themselves; nil leaves this to operators.
 	Group *Group
 }
 
-// Replica is one control replica. Its exported methods are safe for
-// concurrent use.
+// Replica is a control replica. Its exported methods are safe for concurrent use.
 type Replica struct {
 	options  Options
 	identity wal.Identity
@@ -61,31 +59,31 @@
 	calls chan func()
 	done  chan struct{}
 
-	// The run loop alone uses these.
-	waiters  map[uint64]waiter
-	reads    map[uint64]chan<- consensus.Read
-	nextRead uint64
-	hard     *apiv1.HardState
-	// compactAfter puts the next try off after one that failed.
+	// These fields are used only in the run loop.
+	proposals  map[uint64]pendingProposal
+	reads      map[uint64]chan<- consensus.Read
+	lastReadID uint64
+	hardState  *apiv1.HardState
+	// compactAfter is the earliest time of the next compaction after a failure.
 	compactAfter time.Time
 
 	mu      sync.RWMutex
 	state   *estate.State
 	applied uint64
-	// appliedSignal is closed and replaced whenever applied grows.
+	// appliedSignal is closed and replaced whenever applied increases.
 	appliedSignal chan struct{}
 
 	status atomic.Pointer[consensus.Status]
 
-	joiners   *joiners
-	joinState joinReporter
-	watchers  watchers
-	presence  *presence
-	// quarantine remembers for the nodes what they know of servers that ended.
+	joinRequests *joinRequests
+	joinLog      joinLogger
+	watchers     watchers
+	presence     *presence
+	// quarantine stores for the nodes what they know about servers that ended.
 	quarantine *quarantine.Keeper
 }
 
-type waiter struct {
+type pendingProposal struct {
 	term uint64
 	done chan<- *apiv1.AuditRecord
 }
@@ -102,10 +100,10 @@
 	r := &Replica{
 		options: options, identity: identity, disk: disk,
 		relays: newRelayTable(), counters: newCounters(),
-		inbox: make(chan []*apiv1.RaftMessage, inboxSize), calls: make(chan func(), inboxSize), done: make(chan struct{}),
-		waiters: map[uint64]waiter{}, reads: map[uint64]chan<- consensus.Read{},
+		inbox: make(chan []*apiv1.RaftMessage, inputQueueSize), calls: make(chan func(), inputQueueSize), done: make(chan struct{}),
+		proposals: map[uint64]pendingProposal{}, reads: map[uint64]chan<- consensus.Read{},
 		state: estate.NewState(), appliedSignal: make(chan struct{}),
-		hard: restored.HardState, joiners: newJoiners(), presence: newPresence(),
+		hardState: restored.HardState, joinRequests: newJoinRequests(), presence: newPresence(),
 	}
 	r.peers = newPeers(options.Security, r.counters, identity.MemberID, options.Address)
 	if restored.Snapshot != nil {
@@ -116,19 +114,19 @@
 	}
 	r.quarantine = quarantine.New(quarantine.Options{Host: options.Name, Counters: &r.counters.quarantine})
 	if err := r.quarantine.Load(options.DataFolder); err != nil {
-		klog.ErrorS(err, "What was stored of servers that ended is not used", "replica", options.Name)
+		klog.ErrorS(err, "Stored quarantine not loaded", "replica", options.Name)
 	}
 	seed := rand.New(rand.NewPCG(rand.Uint64(), identity.MemberID))
 	r.raft = consensus.New(consensus.Config{ID: identity.MemberID, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Rand: seed}, restored)
-	r.publish()
+	r.publishStatus()
 	if disk.TornBytes > 0 {
-		klog.InfoS("Cut a torn tail off the log", "bytes", disk.TornBytes)
+		klog.InfoS("Truncated a torn tail of the log", "bytes", disk.TornBytes)
 	}
 	return r, nil
 }
 
-// Run drives the replica until ctx ends. A disk that refuses writes makes it
-// stand aside until the disk takes them again.
+// Run runs the replica until ctx ends. While the disk rejects writes, the replica neither leads nor
+// acknowledges anything.
 func (r *Replica) Run(ctx context.Context) error {
 	defer close(r.done)
 	defer r.peers.close()
@@ -137,7 +135,7 @@
 	defer ticker.Stop()
 	background, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go r.runGroup(background)
+	go r.manageMembership(background)
 	go r.quarantine.Store(background, r.options.DataFolder)
 	for {
 		select {
@@ -150,16 +148,16 @@
 		case call := <-r.calls:
 			call()
 		}
-		r.drainInputs()
-		if err := r.work(); err != nil && !r.standAside(ctx, err) {
+		r.processQueuedInputs()
+		if err := r.processReady(); err != nil && !r.waitForDisk(ctx, err) {
 			return nil
 		}
 	}
 }
 
-// drainInputs takes in what waits already, so that one sync serves many.
-func (r *Replica) drainInputs() {
-	for range maxBatch {
+// processQueuedInputs handles the queued messages and calls, so that they share one sync.
+func (r *Replica) processQueuedInputs() {
+	for range maxInputsPerBatch {
 		select {
 		case messages := <-r.inbox:
 			r.step(messages)
@@ -177,15 +175,16 @@
 	}
 }
 
-// work does what the core asks, in the order that consensus.Ready documents.
-func (r *Replica) work() error {
+// processReady handles the output of the consensus core in the order that consensus.Ready
+// documents.
+func (r *Replica) processReady() error {
 	for {
 		rd, ok := r.raft.Ready()
 		if !ok {
-			r.publish()
+			r.publishStatus()
 			return nil
 		}
-		if err := r.save(rd); err != nil {
+		if err := r.persist(rd); err != nil {
 			return err
 		}
 		r.peers.send(rd.Messages, r.raft.Status().Membership)
@@ -197,7 +196,7 @@
 		for _, e := range rd.Committed {
 			r.apply(e)
 		}
-		r.answerReads(rd.Reads)
+		r.completeReads(rd.Reads)
 		r.raft.Advance()
 		if err := r.maybeCompact(); err != nil {
 			return err
@@ -205,7 +204,7 @@
 	}
 }
 
-func (r *Replica) answerReads(reads []consensus.Read) {
+func (r *Replica) completeReads(reads []consensus.Read) {
 	for _, read := range reads {
 		if answer, ok := r.reads[read.Context]; ok {
 			delete(r.reads, read.Context)
@@ -214,9 +213,9 @@
 	}
 }
 
-// publish makes the core's status readable outside the loop and logs changes
-// of role.
-func (r *Replica) publish() {
+// publishStatus makes the status of the consensus core available outside the run loop and logs
+// changes of the role or leader.
+func (r *Replica) publishStatus() {
 	s := r.raft.Status()
 	old := r.status.Swap(&s)
 	if old == nil || old.Role != s.Role || old.Leader != s.Leader {
@@ -234,37 +233,37 @@
 	return "none"
 }
 
-// Status returns the core's view as of the last batch.
+// Status returns the status of the consensus core as of the last batch.
 func (r *Replica) Status() consensus.Status { return *r.status.Load() }
 
-// Revision is the newest revision applied here.
+// Revision returns the newest revision that is applied on this replica.
 func (r *Replica) Revision() uint64 {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.state.Revision()
 }
 
-// inLoop runs f in the run loop and waits for it.
-func (r *Replica) inLoop(ctx context.Context, f func()) error {
-	ran := make(chan struct{})
+// runInLoop runs f in the run loop and waits until it returns.
+func (r *Replica) runInLoop(ctx context.Context, f func()) error {
+	finished := make(chan struct{})
 	select {
-	case r.calls <- func() { f(); close(ran) }:
+	case r.calls <- func() { f(); close(finished) }:
 	case <-r.done:
 		return errStopped
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	select {
-	case <-ran:
+	case <-finished:
 		return nil
 	case <-r.done:
 		return errStopped
 	}
 }
 
-var errStopped = errors.New("the control replica is stopping; ask another one")
+var errStopped = errors.New("the control replica is stopping; use another one")
 
-// HandOver asks another replica to lead, for a planned stop.
+// HandOver starts a transfer of leadership to another replica, for a planned stop.
 func (r *Replica) HandOver(ctx context.Context) {
-	_ = r.inLoop(ctx, func() { r.raft.TransferLeader() })
+	_ = r.runInLoop(ctx, func() { r.raft.TransferLeader() })
 }
--- a/internal/replica/serve.go
+++ b/internal/replica/serve.go
@@ -11,22 +11,22 @@
 	"cactuspath/api/fault"
 )
 
-// Handler serves everything a control replica offers over HTTP.
+// Handler returns the handler for all services of a control replica.
 func (r *Replica) Handler() http.Handler {
 	m := http.NewServeMux()
-	m.Handle(apiv1connect.NewReplicaServiceHandler(logService{r}))
-	m.Handle(apiv1connect.NewControlServiceHandler(control{r}))
-	m.Handle(apiv1connect.NewOperatorCommandServiceHandler(commands{r}))
-	m.Handle(apiv1connect.NewOperatorQueryServiceHandler(queries{r}))
+	m.Handle(apiv1connect.NewReplicaServiceHandler(replicaService{r}))
+	m.Handle(apiv1connect.NewControlServiceHandler(controlService{r}))
+	m.Handle(apiv1connect.NewOperatorCommandServiceHandler(commandService{r}))
+	m.Handle(apiv1connect.NewOperatorQueryServiceHandler(queryService{r}))
 	return m
 }
 
-// logService serves apiv1connect.ReplicaServiceHandler.
-type logService struct{ r *Replica }
+// replicaService implements apiv1connect.ReplicaServiceHandler.
+type replicaService struct{ r *Replica }
 
-// Step takes in messages from another replica.
-func (s logService) Step(ctx context.Context, req *connect.Request[apiv1.StepRequest]) (*connect.Response[apiv1.StepResponse], error) {
-	s.r.peers.hear(req.Msg.From, req.Msg.FromAddress)
+// Step queues messages from another replica.
+func (s replicaService) Step(ctx context.Context, req *connect.Request[apiv1.StepRequest]) (*connect.Response[apiv1.StepResponse], error) {
+	s.r.peers.recordAddress(req.Msg.From, req.Msg.FromAddress)
 	select {
 	case s.r.inbox <- req.Msg.Messages:
 	case <-ctx.Done():
@@ -37,37 +37,37 @@
 	return connect.NewResponse(&apiv1.StepResponse{}), nil
 }
 
-// LogStatus tells which member this replica is and how far its log goes.
-func (s logService) LogStatus(context.Context, *connect.Request[apiv1.LogStatusRequest]) (*connect.Response[apiv1.LogStatusResponse], error) {
+// LogStatus returns the member ID of this replica and the progress of its log.
+func (s replicaService) LogStatus(context.Context, *connect.Request[apiv1.LogStatusRequest]) (*connect.Response[apiv1.LogStatusResponse], error) {
 	return connect.NewResponse(s.r.logStatus()), nil
 }
 
-// control serves apiv1connect.ControlServiceHandler.
-type control struct{ r *Replica }
+// controlService implements apiv1connect.ControlServiceHandler.
+type controlService struct{ r *Replica }
 
-// FindRelays answers a node that has no relay. Only the leader answers, so
-// that one replica counts a data centre's relays.
-func (c control) FindRelays(_ context.Context, req *connect.Request[apiv1.FindRelaysRequest]) (*connect.Response[apiv1.FindRelaysResponse], error) {
-	if err := c.leading(); err != nil {
+// FindRelays answers a node that has no relay. Only the leader answers, so that a single replica
+// counts the relays of a data centre.
+func (c controlService) FindRelays(_ context.Context, req *connect.Request[apiv1.FindRelaysRequest]) (*connect.Response[apiv1.FindRelaysResponse], error) {
+	if err := c.requireLeader(); err != nil {
 		return nil, err
 	}
 	c.r.counters.findRelays.Add(1)
-	return connect.NewResponse(c.r.relays.find(req.Msg)), nil
+	return connect.NewResponse(c.r.relays.assign(req.Msg)), nil
 }
 
-// Quarantine exchanges what a node and this replica know of servers that ended.
-func (c control) Quarantine(_ context.Context, req *connect.Request[apiv1.QuarantineExchange]) (*connect.Response[apiv1.QuarantineExchange], error) {
+// Quarantine exchanges the knowledge of a node and this replica about servers that ended.
+func (c controlService) Quarantine(_ context.Context, req *connect.Request[apiv1.QuarantineExchange]) (*connect.Response[apiv1.QuarantineExchange], error) {
 	return connect.NewResponse(&apiv1.QuarantineExchange{Messages: c.r.quarantine.Answer(req.Msg.Messages)}), nil
 }
 
-// RelaySync gives a relay what changed since its revision, confirmed.
-func (c control) RelaySync(ctx context.Context, req *connect.Request[apiv1.RelaySyncRequest]) (*connect.Response[apiv1.RelaySyncResponse], error) {
-	if err := c.r.confirm(ctx); err != nil {
+// RelaySync returns to a relay the changes since its revision, after a read barrier.
+func (c controlService) RelaySync(ctx context.Context, req *connect.Request[apiv1.RelaySyncRequest]) (*connect.Response[apiv1.RelaySyncResponse], error) {
+	if err := c.r.readBarrier(ctx); err != nil {
 		return nil, err
 	}
 	c.r.counters.relaySyncs.Add(1)
 	list, digest, advice := c.r.relays.sync(req.Msg)
-	resp := &apiv1.RelaySyncResponse{StepDown: advice.stepDown, MoreRelays: advice.more}
+	resp := &apiv1.RelaySyncResponse{StepDown: advice.stepDown, MoreRelays: advice.moreRelays}
 	if digest == req.Msg.RelaysDigest {
 		resp.RelaysUnchanged = true
 	} else {
@@ -79,7 +79,7 @@
 	return connect.NewResponse(resp), nil
 }
 
-func (c control) leading() error {
+func (c controlService) requireLeader() error {
 	if s := c.r.Status(); s.Leader != s.ID {
 		return fault.NotLeaderAt(c.r.leaderAddress())
 	}
--- a/internal/replica/watch.go
+++ b/internal/replica/watch.go
@@ -12,33 +12,33 @@
 )
 
 const (
-	// maxWatchers bounds the nodes that watch one replica: 512 of them cost it a
-	// per cent of a core. Fleets beyond that hear of changes from their relays.
+	// maxWatchers limits the nodes that watch one replica. 512 watchers cost it one per cent of a
+	// core. In larger fleets, nodes receive changes from their relays.
 	maxWatchers = 512
-	longestHold = 5 * time.Second
-	// detachedAfter is when a follower that hears no leader sends its watchers
-	// elsewhere: a few missed heartbeats.
-	detachedAfter = 600 * time.Millisecond
-	// attachedCheck is how often a held watch looks whether the leader is heard.
-	attachedCheck = 250 * time.Millisecond
+	maxHold     = 5 * time.Second
+	// detachedTimeout is the silence of the leader, a few missed heartbeats, after which a follower
+	// refers its watchers to other replicas.
+	detachedTimeout = 600 * time.Millisecond
+	// detachedCheckInterval is the interval at which a waiting watch checks whether the replica is
+	// detached.
+	detachedCheckInterval = 250 * time.Millisecond
 )
 
-// watchers counts the watches that are held.
-type watchers struct{ held atomic.Int64 }
+// watchers counts the active watches.
+type watchers struct{ active atomic.Int64 }
 
-// Watch holds the request until a revision above the watcher's is applied here.
-// Only agreed revisions are told, so that no watcher learns of one that a later
-// leader could take back.
-func (c control) Watch(ctx context.Context, req *connect.Request[apiv1.WatchRequest]) (*connect.Response[apiv1.WatchResponse], error) {
+// Watch waits until a revision newer than the watcher's is applied on this replica. It returns only
+// committed revisions, which a later leader cannot revert.
+func (c controlService) Watch(ctx context.Context, req *connect.Request[apiv1.WatchRequest]) (*connect.Response[apiv1.WatchResponse], error) {
 	r := c.r
 	resp := &apiv1.WatchResponse{}
 	r.presence.put(req.Msg.Entry)
-	if r.watchers.held.Add(1) > maxWatchers {
+	if r.watchers.active.Add(1) > maxWatchers {
 		resp.Full = true
 	} else {
-		r.hold(ctx, req.Msg)
+		r.waitForRevision(ctx, req.Msg)
 	}
-	r.watchers.held.Add(-1)
+	r.watchers.active.Add(-1)
 	r.counters.watches.Add(1)
 	resp.Detached = r.detached()
 	resp.Replicas = memberAddresses(r.Status().Membership)
@@ -48,16 +48,16 @@
 	}
 	r.mu.RUnlock()
 	if req.Msg.WantEntries {
-		resp.Entries, resp.Heard = r.presence.since(req.Msg.Heard)
+		resp.Entries, resp.Heard = r.presence.changedSince(req.Msg.Heard)
 	}
 	return connect.NewResponse(resp), nil
 }
 
-// hold waits for a newer revision, the end of the hold, or the loss of the leader.
-func (r *Replica) hold(ctx context.Context, req *apiv1.WatchRequest) {
-	ctx, cancel := context.WithTimeout(ctx, min(time.Duration(req.HoldMs)*time.Millisecond, longestHold))
+// waitForRevision waits for a newer revision, the end of the hold time or the loss of the leader.
+func (r *Replica) waitForRevision(ctx context.Context, req *apiv1.WatchRequest) {
+	ctx, cancel := context.WithTimeout(ctx, min(time.Duration(req.HoldMs)*time.Millisecond, maxHold))
 	defer cancel()
-	check := time.NewTicker(attachedCheck)
+	check := time.NewTicker(detachedCheckInterval)
 	defer check.Stop()
 	for !r.detached() {
 		r.mu.RLock()
@@ -77,13 +77,14 @@
 	}
 }
 
-// detached tells whether this replica hears no leader and is none.
+// detached reports whether this replica neither leads nor has heard from a leader within
+// detachedTimeout.
 func (r *Replica) detached() bool {
 	s := r.Status()
 	if s.Role == consensus.Leader {
 		return false
 	}
-	return s.Leader == 0 || time.Duration(s.LeaderSilent)*r.options.Tick > detachedAfter
+	return s.Leader == 0 || time.Duration(s.LeaderSilent)*r.options.Tick > detachedTimeout
 }
 
 func memberAddresses(m *apiv1.Membership) []string {
