--- a/cmd/cactusctl/audit.go
+++ b/cmd/cactusctl/audit.go
@@ -12,6 +12,7 @@
 	"cactuspath/internal/operator"
 )
 
+// followInterval is the polling interval of audit --follow.
 const followInterval = time.Second
 
 func auditCommand(f *flags) *cobra.Command {
@@ -19,12 +20,12 @@
 	var follow bool
 	var after uint64
 	cmd := &cobra.Command{
-		Use: "audit", GroupID: queryGroup, Short: "Tell who changed what, when, and with which outcome", Args: exactly(0),
+		Use: "audit", GroupID: queryGroup, Short: "List changes with their time, operator and outcome", Args: exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if follow {
 				return followAudit(cmd, f, after)
 			}
-			return f.with(cmd, func(ctx context.Context, c *operator.Client) error {
+			return f.withClient(cmd, func(ctx context.Context, c *operator.Client) error {
 				records, err := c.Audit(ctx, after, changeID, 0)
 				if err != nil {
 					return err
@@ -37,9 +38,9 @@
 			})
 		},
 	}
-	cmd.Flags().StringVar(&changeID, "change", "", "only the change with this id")
-	cmd.Flags().Uint64Var(&after, "after", 0, "only records after this log index")
-	cmd.Flags().BoolVar(&follow, "follow", false, "go on and print records as they come")
+	cmd.Flags().StringVar(&changeID, "change", "", "print only the change with this id")
+	cmd.Flags().Uint64Var(&after, "after", 0, "print only records after this log index")
+	cmd.Flags().BoolVar(&follow, "follow", false, "keep polling and print new records")
 	return cmd
 }
 
--- a/cmd/cactusctl/cgo.go
+++ b/cmd/cactusctl/cgo.go
@@ -1,4 +1,4 @@
 package main
 
-// Linked against the system's C library, as cactuspath is.
+// Links the program against the system's C library, like cactuspath.
 import _ "runtime/cgo"
--- a/cmd/cactusctl/check.go
+++ b/cmd/cactusctl/check.go
@@ -10,7 +10,7 @@
 
 func checkCommand(_ *flags) *cobra.Command {
 	return &cobra.Command{
-		Use: "check FILE", GroupID: queryGroup, Short: "Report every fault of an estate text, without a cluster", Args: exactly(1),
+		Use: "check FILE", GroupID: queryGroup, Short: "Check an estate text offline and report every problem", Args: exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			_, doc, err := readEstate(cmd, args[0])
 			if err != nil {
@@ -24,7 +24,7 @@
 
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "version", GroupID: toolGroup, Short: "Print the release", Args: exactly(0),
+		Use: "version", GroupID: toolGroup, Short: "Print the version", Args: exactArgs(0),
 		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), version.Version) },
 	}
 }
--- a/cmd/cactusctl/drain.go
+++ b/cmd/cactusctl/drain.go
@@ -10,9 +10,9 @@
 )
 
 func drainCommand(f *flags) *cobra.Command {
-	return orderCommand(f, order{
-		use: "drain HOST", short: "Announce a planned stop of a host and answer when it is safe to stop",
-		send: sendDrain(true),
+	return newChangeCommand(f, changeSpec{
+		use: "drain HOST", short: "Announce a planned stop of a host and wait until it is safe to stop",
+		send: setDraining(true),
 		wait: func(ctx context.Context, c *operator.Client, host string, _ *apiv1.AuditRecord) error {
 			return c.WaitDrained(ctx, host)
 		},
@@ -22,10 +22,10 @@
 }
 
 func undrainCommand(f *flags) *cobra.Command {
-	return orderCommand(f, order{use: "undrain HOST", short: "End a planned stop: the host takes new work again", send: sendDrain(false)})
+	return newChangeCommand(f, changeSpec{use: "undrain HOST", short: "Cancel a planned stop: the host accepts new requests again", send: setDraining(false)})
 }
 
-func sendDrain(draining bool) func(context.Context, *operator.Client, string, string) (*apiv1.AuditRecord, error) {
+func setDraining(draining bool) func(context.Context, *operator.Client, string, string) (*apiv1.AuditRecord, error) {
 	return func(ctx context.Context, c *operator.Client, host, changeID string) (*apiv1.AuditRecord, error) {
 		return c.Drain(ctx, host, draining, changeID)
 	}
--- a/cmd/cactusctl/emulate.go
+++ b/cmd/cactusctl/emulate.go
@@ -13,35 +13,35 @@
 )
 
 func emulateCommand(f *flags) *cobra.Command {
-	cmd := player{
-		use: "emulate SCENARIO", short: "Run services that call each other on noisy hosts through the decision code, against stated outcomes",
+	cmd := simulation{
+		use: "emulate SCENARIO", short: "Simulate services that call each other on noisy hosts, and check the expected outcomes",
 		long: "Run a scenario of several services through the decision code that runs in the nodes, in virtual time: requests that call other services, hosts with noisy\n" +
-			"neighbours, servers that slow down in a crowd, bursts, callers that come back once.\n\n" +
-			"Exits 1 where an outcome that the scenario states is missed. The same seed gives the same figures. docs/emulator.md describes scenarios.",
-		unnamed: "all",
-		names:   emulatorPolicies, play: runEmulation,
+			"neighbours, servers that slow down under concurrency, bursts, callers that retry once.\n\n" +
+			"Exits with 1 if an expected outcome of the scenario is not met. The same seed gives the same figures. docs/emulator.md describes scenarios.",
+		defaultPolicies: "all",
+		policyNames:     emulatorPolicies, run: runEmulation,
 	}.command(f)
-	cmd.Flags().StringSlice(withoutFlag, nil, "play also what the nodes run without these mechanisms, one at a time; join two by + to switch both off: "+strings.Join(mechanism.All().Names(), ", "))
+	cmd.Flags().StringSlice(withoutFlag, nil, "also run the nodes' policy with one of these mechanisms disabled at a time; join several with + to disable them together: "+strings.Join(mechanism.All().Names(), ", "))
 	return cmd
 }
 
 const withoutFlag = "without"
 
-// withouts are the variants that --without asks for.
-func withouts(cmd *cobra.Command) ([]emulator.Variant, error) {
-	asked, err := cmd.Flags().GetStringSlice(withoutFlag)
+// reducedVariants returns the variants with disabled mechanisms that --without lists.
+func reducedVariants(cmd *cobra.Command) ([]emulator.Variant, error) {
+	specs, err := cmd.Flags().GetStringSlice(withoutFlag)
 	if err != nil {
 		return nil, err
 	}
-	var list []emulator.Variant
-	for _, names := range asked {
-		off, err := mechanism.Parse(strings.Split(names, "+"))
+	var variants []emulator.Variant
+	for _, names := range specs {
+		disabled, err := mechanism.Parse(strings.Split(names, "+"))
 		if err != nil {
 			return nil, &usageError{err}
 		}
-		list = append(list, emulator.Without(off))
+		variants = append(variants, emulator.Without(disabled))
 	}
-	return list, nil
+	return variants, nil
 }
 
 func emulatorPolicies() []string {
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	reduced, err := withouts(cmd)
+	reduced, err := reducedVariants(cmd)
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 		return err
 	}
 	if misses := emulator.Check(scenario, results); len(misses) > 0 {
-		return &operator.OutcomeError{Code: operator.ExitFailed, Message: "stated outcomes were missed:\n  " + strings.Join(misses, "\n  ")}
+		return &operator.OutcomeError{Code: operator.ExitFailed, Message: "expected outcomes were not met:\n  " + strings.Join(misses, "\n  ")}
 	}
 	return nil
 }
--- a/cmd/cactusctl/evacuate.go
+++ b/cmd/cactusctl/evacuate.go
@@ -10,15 +10,15 @@
 )
 
 func evacuateCommand(f *flags) *cobra.Command {
-	return orderCommand(f, evacuation("evacuate DATA-CENTRE", "Send no more requests to a data centre's backend servers; answers once all nodes know", true))
+	return newChangeCommand(f, evacuationChange("evacuate DATA-CENTRE", "Stop sending requests to a data centre's backend servers, and wait until all nodes apply it", true))
 }
 
 func unevacuateCommand(f *flags) *cobra.Command {
-	return orderCommand(f, evacuation("unevacuate DATA-CENTRE", "End an evacuation: the data centre's backend servers get requests again", false))
+	return newChangeCommand(f, evacuationChange("unevacuate DATA-CENTRE", "Cancel an evacuation: the data centre's backend servers get requests again", false))
 }
 
-func evacuation(use, short string, evacuated bool) order {
-	return order{
+func evacuationChange(use, short string, evacuated bool) changeSpec {
+	return changeSpec{
 		use: use, short: short,
 		send: func(ctx context.Context, c *operator.Client, dataCenter, changeID string) (*apiv1.AuditRecord, error) {
 			return c.Evacuate(ctx, dataCenter, evacuated, changeID)
@@ -28,6 +28,6 @@
 			return err
 		},
 		done:  func(string) string { return "in force on all nodes" },
-		until: "all nodes know",
+		until: "all nodes apply it",
 	}
 }
--- a/cmd/cactusctl/explain.go
+++ b/cmd/cactusctl/explain.go
@@ -9,9 +9,9 @@
 func explainCommand() *cobra.Command {
 	var request string
 	cmd := &cobra.Command{
-		Use: "explain --request ID FILE...", GroupID: toolGroup, Short: "Show the course and outcome of a request from the logs of many processes",
-		Long: "Show the course and outcome of a request from the logs of many processes: its log lines and those of the calls made for it, ordered by time, and the cause of the outcome.\n" +
-			"Pass one file of output for each process. Lines are ordered by their timestamps.",
+		Use: "explain --request ID FILE...", GroupID: toolGroup, Short: "Show the timeline and outcome of a request from the logs of several processes",
+		Long: "Show the timeline and outcome of a request from the logs of several processes: its log lines and those of its downstream calls, ordered by time, and the cause of the outcome.\n" +
+			"Pass one log file per process. Lines are ordered by their timestamps.",
 		Args: func(cmd *cobra.Command, args []string) error {
 			if err := cobra.MinimumNArgs(1)(cmd, args); err != nil {
 				return &usageError{err}
--- a/cmd/cactusctl/main.go
+++ b/cmd/cactusctl/main.go
@@ -1,5 +1,5 @@
-// Command cactusctl is the operators' tool. Commands change something; queries
-// never do.
+// Command cactusctl is the operators' command-line tool. Its commands change state; its
+// queries are read-only.
 package main
 
 import (
@@ -29,7 +29,7 @@
 	controlEnv     = "CACTUSPATH_CONTROL"
 )
 
-// flags are common to all commands.
+// flags holds the persistent flags of all commands.
 type flags struct {
 	control   []string
 	output    string
@@ -48,8 +48,8 @@
 	os.Exit(exitCode(err))
 }
 
-// exitCode tells usage errors, which cobra reports as plain errors, from the
-// outcomes of commands.
+// exitCode returns ExitUsage for usage errors, which cobra does not distinguish from other
+// errors by itself, and otherwise the exit code of the command's outcome.
 func exitCode(err error) int {
 	var usage *usageError
 	if errors.As(err, &usage) {
@@ -58,6 +58,7 @@
 	return operator.ExitCode(err)
 }
 
+// usageError is an error in the command line.
 type usageError struct{ error }
 
 func newRoot() *cobra.Command {
@@ -75,13 +76,13 @@
 	root.AddGroup(&cobra.Group{ID: commandGroup, Title: "Commands:"}, &cobra.Group{ID: queryGroup, Title: "Queries:"}, &cobra.Group{ID: toolGroup, Title: "Tools:"})
 	p := root.PersistentFlags()
 	p.StringSliceVar(&f.control, "control", envList(), "addresses of the control replicas (environment "+controlEnv+")")
-	p.StringVarP(&f.output, "output", "o", "text", "text or json")
-	p.DurationVar(&f.timeout, "timeout", defaultTimeout, "how long to try")
-	p.StringVar(&f.name, "as", os.Getenv("USER"), "operator's name, where the replicas list no operators")
+	p.StringVarP(&f.output, "output", "o", "text", "output format, text or json")
+	p.DurationVar(&f.timeout, "timeout", defaultTimeout, "time limit, including retries")
+	p.StringVar(&f.name, "as", os.Getenv("USER"), "operator's name, used if the control replicas have no list of operators")
 	p.StringVar(&f.tokenFile, "token-file", "", "file with the operator's token")
-	p.StringVar(&f.tls.Certificate, "tls-certificate", "", "certificate, where the replicas use TLS")
-	p.StringVar(&f.tls.Key, "tls-key", "", "key of the certificate")
-	p.StringVar(&f.tls.Authority, "tls-authority", "", "authority that signed the replicas' certificates")
+	p.StringVar(&f.tls.Certificate, "tls-certificate", "", "client certificate file, if the control replicas use TLS")
+	p.StringVar(&f.tls.Key, "tls-key", "", "private key file of the certificate")
+	p.StringVar(&f.tls.Authority, "tls-authority", "", "CA certificate file for the control replicas' certificates")
 	root.AddCommand(submitCommand(f), drainCommand(f), undrainCommand(f), evacuateCommand(f), unevacuateCommand(f), replicaCommand(f))
 	root.AddCommand(checkCommand(f), statusCommand(f), showCommand(f), diffCommand(f), auditCommand(f))
 	root.AddCommand(replayCommand(f), emulateCommand(f), explainCommand(), versionCommand())
@@ -95,19 +96,19 @@
 	return nil
 }
 
-// client connects to the control replicas that the flags name.
+// client returns a client for the control replicas given by the flags.
 func (f *flags) client() (*operator.Client, error) {
 	if len(f.control) == 0 {
-		return nil, &usageError{errors.New("no control replica is named; give --control ADDRESS or set " + controlEnv)}
+		return nil, &usageError{errors.New("no control replica given; use --control ADDRESS or set " + controlEnv)}
 	}
 	if f.output != "text" && f.output != "json" {
-		return nil, &usageError{errors.Newf("--output %s is not known; use text or json", f.output)}
+		return nil, &usageError{errors.Newf("unknown output format %q; use --output text or --output json", f.output)}
 	}
 	token := ""
 	if f.tokenFile != "" {
 		text, err := os.ReadFile(f.tokenFile)
 		if err != nil {
-			return nil, errors.Wrap(err, "read the token")
+			return nil, errors.Wrap(err, "read the token file")
 		}
 		token = strings.TrimSpace(string(text))
 	}
@@ -118,8 +119,8 @@
 	return &operator.Client{Control: controlclient.New(security, f.control, token), Name: f.name}, nil
 }
 
-// with runs a command against the control replicas within the timeout.
-func (f *flags) with(cmd *cobra.Command, run func(context.Context, *operator.Client) error) error {
+// withClient calls run with a client and a context that is limited by --timeout.
+func (f *flags) withClient(cmd *cobra.Command, run func(context.Context, *operator.Client) error) error {
 	client, err := f.client()
 	if err != nil {
 		return err
@@ -129,7 +130,7 @@
 	return run(ctx, client)
 }
 
-// print writes text, or v as JSON if the flags ask for it.
+// print calls text to write the output, or writes v as JSON with --output json.
 func (f *flags) print(out io.Writer, v any, text func(io.Writer)) error {
 	if f.output != "json" {
 		text(out)
@@ -140,7 +141,7 @@
 	return e.Encode(v)
 }
 
-// readText reads a file, or standard input if it is named "-".
+// readText reads a file, or standard input if the name is "-".
 func readText(cmd *cobra.Command, file string) ([]byte, error) {
 	if file == "-" {
 		return io.ReadAll(cmd.InOrStdin())
@@ -149,7 +150,7 @@
 	return text, errors.Wrap(err, "read the estate text")
 }
 
-// readEstate reads and checks an estate text.
+// readEstate reads and validates an estate text.
 func readEstate(cmd *cobra.Command, file string) ([]byte, *estate.Document, error) {
 	text, err := readText(cmd, file)
 	if err != nil {
@@ -162,8 +163,8 @@
 	return text, doc, nil
 }
 
-// exactly checks the number of arguments as a usage error.
-func exactly(n int) cobra.PositionalArgs {
+// exactArgs is cobra.ExactArgs with a usageError.
+func exactArgs(n int) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(n)(cmd, args); err != nil {
 			return &usageError{err}
--- a/cmd/cactusctl/replay.go
+++ b/cmd/cactusctl/replay.go
@@ -12,12 +12,12 @@
 )
 
 func replayCommand(f *flags) *cobra.Command {
-	return player{
-		use: "replay TRACE", short: "Replay a recorded trace through the decision code, against its stated outcomes",
+	return simulation{
+		use: "replay TRACE", short: "Replay a recorded trace through the decision code and check its expected outcomes",
 		long: "Replay a recorded trace through the decision code that runs in the nodes, in virtual time.\n\n" +
-			"Exits 1 where an outcome that the trace states is missed. The same seed gives the same bytes. docs/traces.md describes traces.",
-		unnamed: "those that the trace speaks of",
-		names:   replayPolicies, play: runReplay,
+			"Exits with 1 if an expected outcome of the trace is not met. The same seed gives byte-identical output. docs/traces.md describes traces.",
+		defaultPolicies: "those in the trace's expected outcomes",
+		policyNames:     replayPolicies, run: runReplay,
 	}.command(f)
 }
 
@@ -56,7 +56,7 @@
 	for i, m := range misses {
 		lines[i] = "  " + m.String()
 	}
-	return &operator.OutcomeError{Code: operator.ExitFailed, Message: "stated outcomes were missed:\n" + strings.Join(lines, "\n")}
+	return &operator.OutcomeError{Code: operator.ExitFailed, Message: "expected outcomes were not met:\n" + strings.Join(lines, "\n")}
 }
 
 func printResults(out io.Writer, trace *replay.Trace, results []*replay.Result, unchecked int) {
@@ -68,6 +68,6 @@
 			r.Answered, r.Failed, r.NotRun, r.Unknown, r.Lost, r.RunTwice, r.Attempts, r.Moves, r.Reports, r.WorstReports)
 	}
 	if unchecked > 0 {
-		fmt.Fprintf(out, "%d stated outcomes were not checked: their policies were not replayed\n", unchecked)
+		fmt.Fprintf(out, "%d expected outcomes were not checked: their policies were not replayed\n", unchecked)
 	}
 }
--- a/cmd/cactusctl/replica.go
+++ b/cmd/cactusctl/replica.go
@@ -13,26 +13,26 @@
 
 func replicaCommand(f *flags) *cobra.Command {
 	cmd := &cobra.Command{Use: "replica", GroupID: commandGroup, Short: "Add, replace or remove a control replica"}
-	cmd.AddCommand(replicaChange(f, "add ADDRESS", "Admit the replica that waits at ADDRESS: as a learner first, as a voter once it has caught up", 1,
+	cmd.AddCommand(membershipCommand(f, "add ADDRESS", "Add the waiting replica at ADDRESS: first as a learner, then as a voter once it has caught up", 1,
 		func(ctx context.Context, c *operator.Client, args []string) (*apiv1.Membership, error) {
 			return c.AddReplica(ctx, args[0])
 		}))
-	cmd.AddCommand(replicaChange(f, "replace NAME ADDRESS", "Admit the replica that waits at ADDRESS in place of the lost replica NAME", 2,
+	cmd.AddCommand(membershipCommand(f, "replace NAME ADDRESS", "Replace the lost replica NAME by the waiting replica at ADDRESS", 2,
 		func(ctx context.Context, c *operator.Client, args []string) (*apiv1.Membership, error) {
 			return c.ReplaceReplica(ctx, args[0], args[1])
 		}))
-	cmd.AddCommand(replicaChange(f, "remove NAME", "Remove the replica NAME", 1,
+	cmd.AddCommand(membershipCommand(f, "remove NAME", "Remove the replica NAME", 1,
 		func(ctx context.Context, c *operator.Client, args []string) (*apiv1.Membership, error) {
 			return c.RemoveReplica(ctx, args[0])
 		}))
 	return cmd
 }
 
-func replicaChange(f *flags, use, short string, args int, change func(context.Context, *operator.Client, []string) (*apiv1.Membership, error)) *cobra.Command {
+func membershipCommand(f *flags, use, short string, args int, change func(context.Context, *operator.Client, []string) (*apiv1.Membership, error)) *cobra.Command {
 	return &cobra.Command{
-		Use: use, Short: short, Args: exactly(args),
+		Use: use, Short: short, Args: exactArgs(args),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return f.with(cmd, func(ctx context.Context, c *operator.Client) error {
+			return f.withClient(cmd, func(ctx context.Context, c *operator.Client) error {
 				members, err := change(ctx, c, args)
 				if err != nil {
 					return err
--- a/cmd/cactusctl/show.go
+++ b/cmd/cactusctl/show.go
@@ -14,9 +14,9 @@
 
 func showCommand(f *flags) *cobra.Command {
 	return &cobra.Command{
-		Use: "show INSTITUTION", GroupID: queryGroup, Short: "Print an institution's newest accepted text", Args: exactly(1),
+		Use: "show INSTITUTION", GroupID: queryGroup, Short: "Print an institution's newest accepted estate text", Args: exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return f.with(cmd, func(ctx context.Context, c *operator.Client) error {
+			return f.withClient(cmd, func(ctx context.Context, c *operator.Client) error {
 				s, err := c.Show(ctx, args[0])
 				if err != nil {
 					return err
@@ -35,13 +35,13 @@
 
 func diffCommand(f *flags) *cobra.Command {
 	return &cobra.Command{
-		Use: "diff FILE", GroupID: queryGroup, Short: "Compare the newest accepted text with a file", Args: exactly(1),
+		Use: "diff FILE", GroupID: queryGroup, Short: "Compare the newest accepted estate text with a file", Args: exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			text, doc, err := readEstate(cmd, args[0])
 			if err != nil {
 				return err
 			}
-			return f.with(cmd, func(ctx context.Context, c *operator.Client) error {
+			return f.withClient(cmd, func(ctx context.Context, c *operator.Client) error {
 				s, err := c.Show(ctx, doc.Institution)
 				if err != nil {
 					return err
--- a/cmd/cactusctl/status.go
+++ b/cmd/cactusctl/status.go
@@ -13,9 +13,9 @@
 
 func statusCommand(f *flags) *cobra.Command {
 	return &cobra.Command{
-		Use: "status", GroupID: queryGroup, Short: "Sum up where the newest revision is in force, and who is behind", Args: exactly(0),
+		Use: "status", GroupID: queryGroup, Short: "Show on how many nodes the newest revision is in force, and which are behind", Args: exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return f.with(cmd, func(ctx context.Context, c *operator.Client) error {
+			return f.withClient(cmd, func(ctx context.Context, c *operator.Client) error {
 				s, err := c.Status(ctx)
 				if err != nil {
 					return err
--- a/cmd/cactusctl/submit.go
+++ b/cmd/cactusctl/submit.go
@@ -20,10 +20,10 @@
 		GroupID: commandGroup,
 		Short:   "Submit an institution's estate text",
 		Long: "Submit an institution's estate text (a file, or - for standard input).\n\n" +
-			"The text replaces the one at revision --base; if another change came first, it is a conflict and nothing changes.\n" +
-			"Without --base the newest revision is looked up first, and what it changed is replaced unseen: prefer --base.\n" +
-			"If an answer is lost, run the same command with the same --change-id: it gets the first answer.",
-		Args: exactly(1),
+			"The text replaces the one at revision --base; if another change was accepted first, the command reports a conflict and nothing changes.\n" +
+			"Without --base, the newest revision is used as the base, and changes that you have not seen may be overwritten: prefer --base.\n" +
+			"If a response is lost, run the same command with the same --change-id: it returns the first outcome.",
+		Args: exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			text, err := readText(cmd, args[0])
 			if err != nil {
@@ -32,7 +32,7 @@
 			if changeID == "" {
 				changeID = operator.NewChangeID()
 			}
-			return f.with(cmd, func(ctx context.Context, c *operator.Client) error {
+			return f.withClient(cmd, func(ctx context.Context, c *operator.Client) error {
 				if base < 0 {
 					if base, err = newestRevision(ctx, c, text); err != nil {
 						return err
@@ -43,12 +43,12 @@
 		},
 	}
 	cmd.Flags().Int64Var(&base, "base", -1, "revision that the change is based on; 0 for an institution's first text")
-	cmd.Flags().StringVar(&changeID, "change-id", "", "id of the change; made up if empty")
+	cmd.Flags().StringVar(&changeID, "change-id", "", "id of the change; generated if empty")
 	cmd.Flags().BoolVar(&wait, "wait", false, "wait until it is in force on every node")
 	return cmd
 }
 
-// newestRevision looks up what the text's institution has now.
+// newestRevision returns the newest revision of the text's institution.
 func newestRevision(ctx context.Context, c *operator.Client, text []byte) (int64, error) {
 	doc, problems := estate.Parse(text)
 	if len(problems) > 0 {
