--- a/cmd/cactuspath/backend.go
+++ b/cmd/cactuspath/backend.go
@@ -18,9 +18,9 @@
 	var slots int
 	cmd := &cobra.Command{
 		Use:   "backend --service NAME --admin ADDRESS",
-		Short: "Run a stand-in backend server, for trials",
-		Long: "Run a stand-in backend server, for trials. It announces itself to the node whose admin address is given.\n\n" +
-			"A request's query steers its answer: sleep=DURATION, status=CODE, bytes=N, reset=N.",
+		Short: "Run a stand-in backend server for trials",
+		Long: "Run a stand-in backend server for trials. It announces itself to the node at the given admin address.\n\n" +
+			"Query parameters of a request control its response: sleep=DURATION, status=CODE, bytes=N, reset=N.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			s := &standin.Server{Service: service, Node: admin, Slots: slots}
@@ -34,11 +34,11 @@
 			return s.Run(ctx)
 		},
 	}
-	cmd.Flags().StringVar(&service, "service", "", "service it belongs to")
+	cmd.Flags().StringVar(&service, "service", "", "service that the server belongs to")
 	cmd.Flags().StringVar(&address, "address", "127.0.0.1:0", "address to listen on")
-	cmd.Flags().StringVar(&admin, "admin", "", "admin address of the node beside it; announces nowhere if empty")
-	cmd.Flags().DurationVar(&delay, "delay", 0, "how long each request takes")
-	cmd.Flags().IntVar(&slots, "slots", 0, "slots to announce; the estate's number if 0")
+	cmd.Flags().StringVar(&admin, "admin", "", "admin address of the node on the same host; not announced if empty")
+	cmd.Flags().DurationVar(&delay, "delay", 0, "processing time of each request")
+	cmd.Flags().IntVar(&slots, "slots", 0, "number of slots to announce; the number in the estate if 0")
 	_ = cmd.MarkFlagRequired("service")
 	return cmd
 }
--- a/cmd/cactuspath/cgo.go
+++ b/cmd/cactuspath/cgo.go
@@ -1,5 +1,5 @@
 package main
 
-// Linked against the system's C library, which the platforms that we run on
-// expect of every program.
+// Links the program against the system's C library, as the supported platforms
+// require of every program.
 import _ "runtime/cgo"
--- a/cmd/cactuspath/check.go
+++ b/cmd/cactuspath/check.go
@@ -12,7 +12,7 @@
 	var file string
 	cmd := &cobra.Command{
 		Use:   "check --settings FILE",
-		Short: "Check a settings file and report every fault at once",
+		Short: "Check a settings file and report all problems",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if _, err := settings.Load(file); err != nil {
@@ -22,6 +22,6 @@
 			return nil
 		},
 	}
-	settingsFlag(cmd, &file)
+	addSettingsFlag(cmd, &file)
 	return cmd
 }
--- a/cmd/cactuspath/dev.go
+++ b/cmd/cactuspath/dev.go
@@ -30,12 +30,12 @@
 		Short: "Run everything in one process on loopback: a control replica, nodes, stand-in backend servers",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			quiet(verbose)
+			configureLogs(verbose)
 			text := examples.Dev
 			if estateFile != "" {
 				var err error
 				if text, err = os.ReadFile(estateFile); err != nil {
-					return errors.Wrap(err, "read the estate")
+					return errors.Wrap(err, "read the estate text")
 				}
 			}
 			folder, err := os.MkdirTemp("", "cactuspath-dev-")
@@ -49,19 +49,20 @@
 			return runDev(cmd, folder, text)
 		},
 	}
-	cmd.Flags().StringVar(&estateFile, "estate", "", "estate text to submit instead of the built-in one; it must have a service named hello")
-	cmd.Flags().BoolVar(&tour, "tour", false, "show every part in turn, print each step's outcome, and end")
-	cmd.Flags().BoolVar(&verbose, "verbose", false, "log changes of state to standard error")
+	cmd.Flags().StringVar(&estateFile, "estate", "", "estate text to submit instead of the built-in one; it must contain a service named hello")
+	cmd.Flags().BoolVar(&tour, "tour", false, "demonstrate each part in turn, print the outcome of each step, and exit")
+	cmd.Flags().BoolVar(&verbose, "verbose", false, "log state changes to standard error")
 	return cmd
 }
 
-// quiet keeps the logs of a dozen parts out of the way.
-func quiet(verbose bool) {
+// configureLogs discards the logs of this process, which runs about a dozen components,
+// unless verbose is set.
+func configureLogs(verbose bool) {
 	if verbose {
-		klogTo(os.Stderr, 0)
+		setLogOutput(os.Stderr, 0)
 		return
 	}
-	silenceLogs()
+	discardLogs()
 }
 
 func runDev(cmd *cobra.Command, folder string, text []byte) error {
--- a/cmd/cactuspath/init.go
+++ b/cmd/cactuspath/init.go
@@ -13,10 +13,10 @@
 	var file string
 	cmd := &cobra.Command{
 		Use:   "init --settings FILE",
-		Short: "Claim the data folder of a founding control replica, once, before its first start",
-		Long: "Claim the data folder of a founding control replica, once, before its first start.\n\n" +
-			"A replica whose disk was lost must not be claimed again: start it with an empty folder and run `cactusctl replica replace`,\n" +
-			"so that it returns as a new member. The command refuses when another founder already holds changes.",
+		Short: "Initialize the data folder of a founding control replica, once, before its first start",
+		Long: "Initialize the data folder of a founding control replica, once, before its first start.\n\n" +
+			"A replica whose disk was lost must not be initialized again: start it with an empty folder and run `cactusctl replica replace`,\n" +
+			"so that it returns as a new member. The command fails if another founding replica already has changes.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			s, err := settings.Load(file)
@@ -30,6 +30,6 @@
 			return nil
 		},
 	}
-	settingsFlag(cmd, &file)
+	addSettingsFlag(cmd, &file)
 	return cmd
 }
--- a/cmd/cactuspath/logs.go
+++ b/cmd/cactuspath/logs.go
@@ -12,24 +12,25 @@
 	"cactuspath/internal/logs"
 )
 
-// flushTime bounds the wait for an output that is not read, at the end.
-const flushTime = 300 * time.Millisecond
+// flushTimeout limits the wait at exit for a standard output that nobody reads.
+const flushTimeout = 300 * time.Millisecond
 
-// startLogs has klog write to standard output through a writer that never
-// blocks; the function it returns writes what waits.
-func startLogs(level int) (stop func()) {
+// startLogging makes klog write to standard output through a writer that never blocks. The
+// returned function flushes and closes the writer.
+func startLogging(level int) (stop func()) {
 	w := logs.NewWriter(os.Stdout)
-	klogTo(w, level)
+	setLogOutput(w, level)
 	return func() {
 		klog.Flush()
-		w.Close(flushTime)
+		w.Close(flushTimeout)
 	}
 }
 
-func silenceLogs() { klogTo(io.Discard, 0) }
+// discardLogs discards all log lines.
+func discardLogs() { setLogOutput(io.Discard, 0) }
 
-// klogTo sends the lines of every severity to one place, once.
-func klogTo(w io.Writer, level int) {
+// setLogOutput makes klog write the lines of all severities to w, each line once.
+func setLogOutput(w io.Writer, level int) {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
 	for name, value := range map[string]string{"logtostderr": "false", "alsologtostderr": "false", "stderrthreshold": "FATAL", "one_output": "true", "v": strconv.Itoa(level)} {
--- a/cmd/cactuspath/main.go
+++ b/cmd/cactuspath/main.go
@@ -1,5 +1,5 @@
-// Command cactuspath is the process on each host: a node beside a backend
-// server, a control replica, or both.
+// Command cactuspath runs on each host: as a node next to a backend server, as a control
+// replica, or as both.
 package main
 
 import (
--- a/cmd/cactuspath/run.go
+++ b/cmd/cactuspath/run.go
@@ -18,17 +18,17 @@
 	var file string
 	cmd := &cobra.Command{
 		Use:   "run --settings FILE",
-		Short: "Run a node, a control replica, or both, as the settings say",
-		Long: "Run a node, a control replica, or both, as the settings say.\n\n" +
-			"SIGTERM and SIGINT are a planned stop: new work is refused as not run, work in flight ends, then the process exits 0.\n" +
-			"SIGHUP has the settings file read again; a change of the file is noticed without it, too.",
+		Short: "Run a node, a control replica, or both, according to the settings",
+		Long: "Run a node, a control replica, or both, according to the settings.\n\n" +
+			"SIGTERM and SIGINT start a planned stop: new requests are rejected without being run, requests in flight complete, then the process exits with 0.\n" +
+			"SIGHUP reloads the settings file. Changes of the file are also detected without it.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			s, err := settings.Load(file)
 			if err != nil {
 				return err
 			}
-			defer startLogs(s.LogLevel)()
+			defer startLogging(s.LogLevel)()
 			debug.SetGCPercent(s.GCPercent)
 			ctx, cancel := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, syscall.SIGINT)
 			defer cancel()
@@ -36,22 +36,23 @@
 			if err != nil {
 				return err
 			}
-			hangups := make(chan os.Signal, 1)
-			signal.Notify(hangups, syscall.SIGHUP)
-			go p.WatchSettings(ctx, file, hangups)
+			reloadSignals := make(chan os.Signal, 1)
+			signal.Notify(reloadSignals, syscall.SIGHUP)
+			go p.WatchSettings(ctx, file, reloadSignals)
 			return p.Run(ctx)
 		},
 	}
-	settingsFlag(cmd, &file)
+	addSettingsFlag(cmd, &file)
 	return cmd
 }
 
-// adapters are the platforms that this program can run on.
+// adapters returns the available platform adapters by name.
 func adapters() map[string]adapter.Adapter {
 	return map[string]adapter.Adapter{platform.Name: platform.New()}
 }
 
-func settingsFlag(cmd *cobra.Command, file *string) {
+// addSettingsFlag adds the required --settings flag.
+func addSettingsFlag(cmd *cobra.Command, file *string) {
 	cmd.Flags().StringVar(file, "settings", "", "settings file (JSON with comments)")
 	_ = cmd.MarkFlagRequired("settings")
 }
