--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,5 +1,5 @@
-// Package standin is a backend server for trials, tests and measurements. It
-// announces itself to its node and answers requests as it is told to.
+// Package standin implements a stand-in backend server for trials, tests and benchmarks.
+// It announces itself to a node, and requests control the responses that they get.
 package standin
 
 import (
@@ -17,59 +17,60 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Server is one stand-in. Safe for concurrent use.
+// Server is a stand-in backend server. It is safe for concurrent use.
 type Server struct {
 	Service string
-	// Node is the admin address of the node beside it; empty means that it
-	// announces itself nowhere.
+	// Node is the admin address of the node on the same host. The server does not announce
+	// itself if it is empty.
 	Node string
-	// Slots overrides the estate's number if not 0.
+	// Slots overrides the estate's number of slots if it is not 0.
 	Slots int
 
 	listener net.Listener
 	http     *http.Server
 	delay    atomic.Int64
 	draining atomic.Bool
-	slots    chan struct{}
+	running  chan struct{}
 }
 
 const (
-	renewEvery   = 3 * time.Second
-	announceWait = 2 * time.Second
-	// maxSlots bounds the requests that run at once.
-	maxSlots = 1024
+	// announceInterval is the interval at which the announcement is renewed.
+	announceInterval = 3 * time.Second
+	announceTimeout  = 2 * time.Second
+	// maxConcurrentRequests limits the number of requests that run concurrently.
+	maxConcurrentRequests = 1024
 )
 
-// Listen opens the stand-in on an address.
+// Listen opens the listener.
 func (s *Server) Listen(address string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return errors.Wrap(err, "open the stand-in; use another address")
+		return errors.Wrap(err, "listen for requests; use another address")
 	}
 	s.listener = l
-	s.slots = make(chan struct{}, maxSlots)
+	s.running = make(chan struct{}, maxConcurrentRequests)
 	s.http = &http.Server{Handler: http.HandlerFunc(s.serve), ReadHeaderTimeout: time.Minute}
 	return nil
 }
 
-// Address is where it listens.
+// Address returns the address of the listener.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// SetDelay sets how long a request takes.
+// SetDelay sets the default processing time of a request.
 func (s *Server) SetDelay(d time.Duration) { s.delay.Store(int64(d)) }
 
-// Run serves and announces until ctx ends.
+// Run serves requests and renews the announcement until ctx is done.
 func (s *Server) Run(ctx context.Context) error {
-	failed := make(chan error, 1)
-	go func() { failed <- s.http.Serve(s.listener) }()
-	ticker := time.NewTicker(renewEvery)
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- s.http.Serve(s.listener) }()
+	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
 	_ = s.Announce(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return s.http.Close()
-		case err := <-failed:
+		case err := <-serveErr:
 			return err
 		case <-ticker.C:
 			_ = s.Announce(ctx)
@@ -77,12 +78,12 @@
 	}
 }
 
-// Announce tells the node of this server once.
+// Announce sends one announcement to the node.
 func (s *Server) Announce(ctx context.Context) error {
 	if s.Node == "" {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, announceWait)
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	body, err := json.Marshal(map[string]any{"service": s.Service, "address": s.Address(), "slots": s.Slots, "draining": s.draining.Load()})
 	if err != nil {
@@ -94,34 +95,34 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return errors.Wrap(err, "announce to the node; check that it runs and its admin address")
+		return errors.Wrap(err, "announce to the node; check that it is running and that its admin address is correct")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(resp.Body)
-		return errors.Newf("the node refused the announcement: %s", bytes.TrimSpace(text))
+		return errors.Newf("the node rejected the announcement: %s", bytes.TrimSpace(text))
 	}
 	return nil
 }
 
-// Drain announces that this server is leaving.
+// Drain announces that this server is draining.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	return s.Announce(ctx)
 }
 
-// serve answers one request. Query parameters steer it: sleep=DURATION,
-// status=CODE, bytes=N (answer size), reset=N (break the connection after N
-// bytes of a longer answer).
+// serve handles one request. Its query parameters control the response: sleep=DURATION,
+// status=CODE, bytes=N (size of the body), reset=N (close the connection after N bytes of a
+// longer body).
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	s.slots <- struct{}{}
-	defer func() { <-s.slots }()
+	s.running <- struct{}{}
+	defer func() { <-s.running }()
 	q := r.URL.Query()
 	received, err := io.Copy(io.Discard, r.Body)
 	if err != nil {
 		return
 	}
-	s.pause(r.Context(), q.Get("sleep"))
+	s.wait(r.Context(), q.Get("sleep"))
 	if n, err := strconv.Atoi(q.Get("reset")); err == nil {
 		s.reset(w, n)
 		return
@@ -133,14 +134,15 @@
 	w.Header().Set("Standin-Received", strconv.FormatInt(received, 10))
 	if n, err := strconv.Atoi(q.Get("bytes")); err == nil {
 		w.WriteHeader(status)
-		_, _ = io.CopyN(w, pattern{}, int64(n))
+		_, _ = io.CopyN(w, patternReader{}, int64(n))
 		return
 	}
 	w.WriteHeader(status)
 	fmt.Fprintf(w, "%s %s %s\n", s.Service, r.Method, r.URL.RequestURI())
 }
 
-func (s *Server) pause(ctx context.Context, query string) {
+// wait waits for the duration in query or, if there is none, for the default delay.
+func (s *Server) wait(ctx context.Context, query string) {
 	d := time.Duration(s.delay.Load())
 	if q, err := time.ParseDuration(query); err == nil {
 		d = q
@@ -156,25 +158,24 @@
 	}
 }
 
-// reset promises a long answer and breaks the connection after n bytes of it.
+// reset sends n bytes of a body with a larger Content-Length and aborts the connection.
 func (s *Server) reset(w http.ResponseWriter, n int) {
 	w.Header().Set("Content-Length", strconv.Itoa(n+1000))
 	w.WriteHeader(http.StatusOK)
-	_, _ = io.CopyN(w, pattern{}, int64(n))
+	_, _ = io.CopyN(w, patternReader{}, int64(n))
 	_ = http.NewResponseController(w).Flush()
 	panic(http.ErrAbortHandler)
 }
 
-// pattern is an endless source of bytes.
-type pattern struct{}
+// patternReader is an endless reader of repeated letters.
+type patternReader struct{}
 
-func (pattern) Read(p []byte) (int, error) {
+func (patternReader) Read(p []byte) (int, error) {
 	for i := range p {
 		p[i] = 'a' + byte(i%26)
 	}
 	return len(p), nil
 }
 
-// Kill ends the stand-in at once, connections included, without a word to its
-// node.
+// Kill closes the server and its connections immediately, without informing the node.
 func (s *Server) Kill() { _ = s.http.Close() }
