--- a/core/jsonc/jsonc.go
+++ b/core/jsonc/jsonc.go
@@ -1,6 +1,6 @@
-// Package jsonc reads JSON with comments strictly and reports every fault at
-// once, each with its line, column, field and remedy. It serves the estate
-// text and the process settings, so that both have errors of one quality.
+// Package jsonc decodes JSON with comments strictly and reports all errors of a
+// text together, each with its line, column, field and remedy. The estate text
+// and the process settings share it, so that their errors have the same form.
 package jsonc
 
 import (
@@ -18,16 +18,19 @@
 )
 
 const (
-	// MaxBytes is the largest text accepted, in bytes.
+	// MaxBytes is the maximum size of a text, in bytes.
 	MaxBytes = 4 << 20
-	// maxDepth bounds nesting: the library's parser recurses, so without a
-	// bound a text of brackets alone would exhaust the stack and end the process.
+	// maxDepth is the maximum nesting depth. The hujson parser is recursive:
+	// without a limit, a text of opening brackets overflows the stack and
+	// terminates the process.
 	maxDepth = 32
-	// MaxProblems bounds a report; a text with more faults is cut off there.
+	// MaxProblems is the maximum number of problems reported for a text; the
+	// rest are omitted.
 	MaxProblems = 50
 )
 
-// Problem is one fault in a text. Line and Column count from 1, in bytes.
+// Problem is one error in a text. Line and Column start at 1; Column counts
+// bytes.
 type Problem struct {
 	Line, Column int
 	Field        string
@@ -35,43 +38,45 @@
 	Remedy       string
 }
 
-// String renders the problem on one line.
+// String formats the problem on one line.
 func (p Problem) String() string {
-	where := fmt.Sprintf("line %d, column %d", p.Line, p.Column)
+	location := fmt.Sprintf("line %d, column %d", p.Line, p.Column)
 	if p.Field != "" {
-		where += ", field " + p.Field
+		location += ", field " + p.Field
 	}
-	return fmt.Sprintf("%s: %s; %s", where, p.Message, p.Remedy)
+	return fmt.Sprintf("%s: %s; %s", location, p.Message, p.Remedy)
 }
 
-// Reader collects the problems of one text while its values are read.
+// Reader collects the problems found while the values of one text are decoded.
 type Reader struct {
 	text     []byte
 	problems []Problem
 }
 
-// Node is a value with the path that leads to it.
+// Node is a value of the text and its field path.
 type Node struct {
 	reader *Reader
 	value  *hujson.Value
 	path   string
 }
 
-// Open parses text. The Node is usable only when no problem is reported.
+// Open parses text and returns its root node. If Reader.Problems is not empty,
+// the node has no value.
 func Open(text []byte) (*Reader, Node) {
 	r := &Reader{text: text}
-	if !r.sane() {
+	if !r.checkLimits() {
 		return r, Node{reader: r}
 	}
 	value, err := hujson.Parse(text)
 	if err != nil {
-		r.syntax(err)
+		r.addSyntaxError(err)
 		return r, Node{reader: r}
 	}
 	return r, Node{reader: r, value: &value}
 }
 
-// Problems returns the faults found so far, in order of their place.
+// Problems returns up to MaxProblems problems found so far, ordered by line and
+// column.
 func (r *Reader) Problems() []Problem {
 	sort.SliceStable(r.problems, func(i, j int) bool {
 		a, b := r.problems[i], r.problems[j]
@@ -86,23 +91,27 @@
 	return r.problems
 }
 
-func (r *Reader) sane() bool {
+// checkLimits reports whether the text is within MaxBytes and maxDepth and is
+// valid UTF-8. It adds a problem for the first check that fails.
+func (r *Reader) checkLimits() bool {
 	if len(r.text) > MaxBytes {
-		r.at(0, "", fmt.Sprintf("the text has %d bytes, more than the %d allowed", len(r.text), MaxBytes), "split it into one text per institution")
+		r.addProblem(0, "", fmt.Sprintf("the text has %d bytes, more than the %d allowed", len(r.text), MaxBytes), "split it into one text per institution")
 		return false
 	}
 	if !utf8.Valid(r.text) {
-		r.at(invalidUTF8(r.text), "", "the text is not valid UTF-8", "save the file as UTF-8")
+		r.addProblem(invalidUTF8(r.text), "", "the text is not valid UTF-8", "save the file as UTF-8")
 		return false
 	}
-	if at, deep := tooDeep(r.text); deep {
-		r.at(at, "", fmt.Sprintf("values are nested more than %d deep", maxDepth), "flatten the text; no field needs this depth")
+	if offset, exceeded := findExcessDepth(r.text); exceeded {
+		r.addProblem(offset, "", fmt.Sprintf("values are nested more than %d deep", maxDepth), "reduce the nesting; no field needs this depth")
 		return false
 	}
 	return true
 }
 
-func (r *Reader) syntax(err error) {
+// addSyntaxError adds a hujson parse error, with the position taken from its
+// message.
+func (r *Reader) addSyntaxError(err error) {
 	p := Problem{Line: 1, Column: 1, Message: err.Error(), Remedy: "correct the syntax (JSON with comments and trailing commas)"}
 	var line, column int
 	if _, scanErr := fmt.Sscanf(err.Error(), "hujson: line %d, column %d:", &line, &column); scanErr == nil {
@@ -114,12 +123,14 @@
 	r.problems = append(r.problems, p)
 }
 
-func (r *Reader) at(offset int, field, message, remedy string) {
-	line, column := position(r.text, offset)
+// addProblem adds a problem at a byte offset of the text.
+func (r *Reader) addProblem(offset int, field, message, remedy string) {
+	line, column := lineAndColumn(r.text, offset)
 	r.problems = append(r.problems, Problem{line, column, field, message, remedy})
 }
 
-func position(text []byte, offset int) (line, column int) {
+// lineAndColumn converts a byte offset to a line and column, both starting at 1.
+func lineAndColumn(text []byte, offset int) (line, column int) {
 	offset = min(offset, len(text))
 	line, column = 1, 1
 	for _, c := range text[:offset] {
@@ -131,6 +142,7 @@
 	return line, column
 }
 
+// invalidUTF8 returns the offset of the first byte that is not valid UTF-8.
 func invalidUTF8(text []byte) int {
 	for i := 0; i < len(text); {
 		r, size := utf8.DecodeRune(text[i:])
@@ -142,8 +154,9 @@
 	return len(text)
 }
 
-// tooDeep scans brackets outside strings and comments.
-func tooDeep(text []byte) (offset int, deep bool) {
+// findExcessDepth returns the offset of the first bracket nested deeper than
+// maxDepth. Brackets in strings and comments do not count.
+func findExcessDepth(text []byte) (offset int, exceeded bool) {
 	depth := 0
 	for i := 0; i < len(text); i++ {
 		switch c := text[i]; {
@@ -162,6 +175,7 @@
 	return 0, false
 }
 
+// skipString returns the offset of the quote that closes the string starting at i.
 func skipString(text []byte, i int) int {
 	for i++; i < len(text) && text[i] != '"'; i++ {
 		if text[i] == '\\' {
@@ -171,6 +185,8 @@
 	return i
 }
 
+// skipComment returns the offset of the last byte of the comment starting at i, or
+// i if no comment starts there. A line comment ends at its newline.
 func skipComment(text []byte, i int) int {
 	rest := text[i:]
 	switch {
@@ -188,26 +204,27 @@
 	return i
 }
 
-// Fail reports a fault at the node.
+// Fail adds a problem at the node's position.
 func (n Node) Fail(message, remedy string) {
 	offset := 0
 	if n.value != nil {
 		offset = n.value.StartOffset
 	}
-	n.reader.at(offset, n.path, message, remedy)
+	n.reader.addProblem(offset, n.path, message, remedy)
 }
 
-// Path returns the field's path, such as "services.snag-list.slots".
+// Path returns the node's field path, for example "services.snag-list.slots".
 func (n Node) Path() string { return n.path }
 
-// Member is one name and value of an object, in the text's order.
+// Member is a key-value pair of an object.
 type Member struct {
 	Name  string
 	Key   Node
 	Value Node
 }
 
-// Members returns an object's members; a name that stands twice is a fault.
+// Members returns the members of an object in the order of the text. It reports
+// duplicate names and omits all but the first.
 func (n Node) Members() []Member {
 	if n.value == nil {
 		return nil
@@ -221,14 +238,14 @@
 	members := make([]Member, 0, len(object.Members))
 	for i := range object.Members {
 		m := &object.Members[i]
-		name := literal(m.Name).String()
+		name := literalOf(m.Name).String()
 		path := name
 		if n.path != "" {
 			path = n.path + "." + name
 		}
 		key := Node{n.reader, &m.Name, path}
 		if seen[name] {
-			key.Fail(fmt.Sprintf("%q stands twice", name), "keep one of the two")
+			key.Fail(fmt.Sprintf("duplicate name %q", name), "remove one of the two")
 			continue
 		}
 		seen[name] = true
@@ -237,13 +254,14 @@
 	return members
 }
 
-func literal(v hujson.Value) hujson.Literal {
+// literalOf returns v as a literal, or an empty literal if it is not one.
+func literalOf(v hujson.Value) hujson.Literal {
 	l, _ := v.Value.(hujson.Literal)
 	return l
 }
 
-// Object reads an object whose fields are known; any other name is a fault.
-// A name in required that is missing is a fault too.
+// Object decodes an object by calling the function in fields for each member. It
+// reports members that are not in fields and required names that are missing.
 func (n Node) Object(fields map[string]func(Node), required ...string) {
 	present := map[string]bool{}
 	for _, m := range n.Members() {
@@ -265,7 +283,7 @@
 	}
 }
 
-// Elements returns an array's elements.
+// Elements returns the elements of an array.
 func (n Node) Elements() []Node {
 	if n.value == nil {
 		return nil
@@ -282,7 +300,7 @@
 	return nodes
 }
 
-// String reads a string.
+// String decodes a string.
 func (n Node) String() string {
 	if n.value == nil {
 		return ""
@@ -295,10 +313,10 @@
 	return l.String()
 }
 
-// Strings reads a list of strings.
+// Strings decodes a list of strings.
 func (n Node) Strings() []string { return List(n, Node.String) }
 
-// List reads a list whose elements are read one by one.
+// List decodes a list by calling read for each element.
 func List[T any](n Node, read func(Node) T) []T {
 	var list []T
 	for _, e := range n.Elements() {
@@ -307,7 +325,7 @@
 	return list
 }
 
-// Bool reads true or false.
+// Bool decodes a boolean.
 func (n Node) Bool() bool {
 	if n.value == nil {
 		return false
@@ -320,7 +338,8 @@
 	return l.Bool()
 }
 
-// Uint reads a whole number between low and high.
+// Uint decodes an integer between low and high. It returns low if the value is
+// invalid.
 func (n Node) Uint(low, high uint64) uint64 {
 	if n.value == nil {
 		return low
@@ -339,7 +358,8 @@
 	return v
 }
 
-// Duration reads a duration such as "250ms" between low and high.
+// Duration decodes a duration string such as "250ms" between low and high. It
+// returns low if the value is invalid.
 func (n Node) Duration(low, high time.Duration) time.Duration {
 	if n.value == nil {
 		return low
@@ -352,7 +372,8 @@
 	return d
 }
 
-// OneOf reads a string that must be one of the allowed words.
+// OneOf decodes a string that must be one of the allowed values. It returns the
+// first of them if the value is invalid.
 func (n Node) OneOf(allowed ...string) string {
 	s := n.String()
 	for _, a := range allowed {
