--- a/core/rollout/routes_test.go
+++ b/core/rollout/routes_test.go
@@ -10,9 +10,9 @@
 
 func route(prefix string) *apiv1.RouteSpec { return &apiv1.RouteSpec{PathPrefix: prefix} }
 
-// A receiver gets the routes that changed since its revision, those that were
-// removed among them, and never an older one.
-func TestRoutesTravelAsTheyChange(t *testing.T) {
+// A receiver gets the routes that changed after its revision, including removed
+// ones, and ignores an older delta.
+func TestDeltaContainsChangedRoutes(t *testing.T) {
 	source, node := NewRecords(), NewRecords()
 	source.Replace("a", Contents{Routes: map[string]*apiv1.RouteSpec{"x": route("/x"), "y": route("/y")}, Limits: &apiv1.CallerLimits{MaxHeaderBytes: 100}}, 1)
 	first := source.DeltaFor(0, nil, nil, "host")
@@ -22,20 +22,20 @@
 
 	source.Replace("a", Contents{Routes: map[string]*apiv1.RouteSpec{"x": route("/x"), "z": route("/z")}, Limits: &apiv1.CallerLimits{MaxHeaderBytes: 100}}, 4)
 	second := source.DeltaFor(1, nil, nil, "host")
-	assert.Equal(t, len(second.Routes), 2, "the removed and the added one")
+	assert.Equal(t, len(second.Routes), 2, "the removed and the added route")
 	assert.Equal(t, len(second.Limits), 0)
 	assert.Assert(t, node.Apply(second))
-	assert.Assert(t, !node.Apply(first), "an older delta moved the node back")
+	assert.Assert(t, !node.Apply(first), "the node applied an older delta")
 	assert.Equal(t, node.Routes()[1].Name, "z")
 }
 
-// Two institutions may have routes of one name.
-func TestRoutesOfTwoInstitutionsStayApart(t *testing.T) {
+// Two institutions may have routes of the same name.
+func TestInstitutionsMayShareRouteNames(t *testing.T) {
 	r := NewRecords()
 	r.Replace("a", Contents{Routes: map[string]*apiv1.RouteSpec{"x": route("/a")}, Limits: &apiv1.CallerLimits{MaxBodyBytes: 10}}, 1)
 	r.Replace("b", Contents{Routes: map[string]*apiv1.RouteSpec{"x": route("/b")}, Limits: &apiv1.CallerLimits{MaxBodyBytes: 5}}, 2)
 	assert.Equal(t, len(r.Routes()), 2)
-	assert.Equal(t, r.Limits().MaxBodyBytes, uint64(5), "the tightest limit holds")
+	assert.Equal(t, r.Limits().MaxBodyBytes, uint64(5), "the smallest limit applies")
 	r.Replace("b", Contents{}, 3)
 	assert.Equal(t, len(r.Routes()), 1)
 	assert.Equal(t, r.Limits().MaxBodyBytes, uint64(10))
--- a/core/rollout/seed_test.go
+++ b/core/rollout/seed_test.go
@@ -2,6 +2,6 @@
 
 import "flag"
 
-// Property tests draw from a fixed seed, so that a run can be repeated;
-// -rapid.seed on the command line overrides it.
+// Property tests use a fixed seed so that runs are reproducible; -rapid.seed on
+// the command line overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
