--- a/core/estate/document.go
+++ b/core/estate/document.go
@@ -1,8 +1,9 @@
-// Package estate reads an institution's estate text, checks it in full and
-// compiles it into one record per service. It also holds the replicated state
-// that the control replicas agree on: documents, records and audit trail.
+// Package estate parses and validates the estate text of an institution, which
+// declares its services and routes, and compiles it into one record per service.
+// It also implements the replicated state of the control replicas: documents,
+// records and audit trail.
 //
-// Nothing here does I/O. State is not safe for concurrent use; its records are
+// The package does no I/O. State is not safe for concurrent use. Its records are
 // never modified after they were published, so they may be shared.
 package estate
 
@@ -18,66 +19,69 @@
 	"cactuspath/core/rollout"
 )
 
-// Document is a checked estate text of one institution.
+// Document is the validated estate text of one institution.
 type Document struct {
 	Institution string
-	// Revision is the number that the operator gives this text; 0 leaves it to
-	// the control replicas, which then take the next one.
+	// Revision is the number that the operator gives to the text. If it is 0, the
+	// control replicas assign the next revision.
 	Revision uint64
 	Services map[string]*apiv1.ServiceSpec
 	Routes   map[string]*apiv1.RouteSpec
-	// Limits bound what callers may send; nil if the text has none.
+	// Limits are the limits on requests of callers, or nil if the text has none.
 	Limits *apiv1.CallerLimits
 }
 
-// Contents is what a text compiles to.
+// Contents returns the compiled form of the document.
 func (d *Document) Contents() rollout.Contents {
 	return rollout.Contents{Services: d.Services, Routes: d.Routes, Limits: d.Limits}
 }
 
-// Limits that a text may not exceed. They keep one institution's mistake from
-// costing every node its memory.
+// Limits on the values of a text. They prevent a mistake of one institution from
+// exhausting the memory of every node.
 const (
-	maxServices     = 2000
-	maxNames        = 64
-	maxSlots        = 10_000
-	maxQueue        = 100_000
-	maxAttempts     = 5
-	maxRetryPercent = 100
-	maxBudgetRate   = 10_000_000
-	// maxRevision leaves room above any number that an operator gives.
+	maxServices        = 2000
+	maxNamesPerList    = 64
+	maxSlots           = 10_000
+	maxQueueLength     = 100_000
+	maxAttempts        = 5
+	maxRetryPercent    = 100
+	maxBudgetPerSecond = 10_000_000
+	// maxRevision leaves enough revisions above the highest that an operator can
+	// give.
 	maxRevision = 1 << 53
 
-	// The limits below are exported for adapters that clamp values from other formats.
+	// The limits below are exported for adapters that clamp values of other formats.
 	MaxTimeout     = time.Hour
 	MaxConnections = 1_000_000
 	MaxColdRate    = 1_000_000
 )
 
-// Defaults for fields that a text leaves out.
+// Defaults for fields that a text omits.
 const (
-	defaultTimeout      = 10 * time.Second
-	defaultAttempts     = 3
-	defaultRetryPercent = 10
-	defaultReports      = 5000
-	defaultBytes        = 320_000
-	defaultSlowStart    = 2 * time.Second
-	// defaultReportsPerEndpoint and defaultBytesPerEndpoint are what a gate may spend
-	// where a text states no budget, however many endpoints share the totals: of 108
-	// gates each had a report to five siblings in 270 ms, half as long as a slow time.
-	// The bytes are a bit over half of what a node may spend on control, 29 KB a second.
+	defaultTimeout          = 10 * time.Second
+	defaultAttempts         = 3
+	defaultRetryPercent     = 10
+	defaultReportsPerSecond = 5000
+	defaultBytesPerSecond   = 320_000
+	defaultSlowStart        = 2 * time.Second
+	// defaultReportsPerEndpoint and defaultBytesPerEndpoint are what each gate may
+	// send per second if a text states no budget, however many endpoints share the
+	// totals. With the totals alone, each of 108 gates sent a report to five siblings
+	// only every 270 ms, which is half of a slow period. The bytes are slightly more
+	// than half of a node's budget for control traffic, 29 KB per second.
 	defaultReportsPerEndpoint = 100
 	defaultBytesPerEndpoint   = 16_000
-	queuePerSlot              = 2
+	defaultQueuePerSlot       = 2
 )
 
-// terms are an institution's contract, copied into each of its services.
+// terms are the contract terms of an institution. They are copied into each of its
+// services.
 type terms struct {
 	measure      *apiv1.MeasureBudget
 	retryPercent uint64
 }
 
-// Parse reads and checks a text. The Document is nil when there are problems.
+// Parse parses and validates a text. The Document is nil if there are problems.
 func Parse(text []byte) (*Document, []jsonc.Problem) {
 	reader, root := jsonc.Open(text)
 	if len(reader.Problems()) > 0 {
@@ -85,22 +89,22 @@
 	}
 	doc := &Document{Services: map[string]*apiv1.ServiceSpec{}, Routes: map[string]*apiv1.RouteSpec{}}
 	contract := terms{
-		measure: &apiv1.MeasureBudget{ReportsPerSecond: defaultReports, BytesPerSecond: defaultBytes,
+		measure: &apiv1.MeasureBudget{ReportsPerSecond: defaultReportsPerSecond, BytesPerSecond: defaultBytesPerSecond,
 			ReportsPerEndpoint: defaultReportsPerEndpoint, BytesPerEndpoint: defaultBytesPerEndpoint},
 		retryPercent: defaultRetryPercent,
 	}
-	places, routePlaces := map[string]jsonc.Node{}, map[string]jsonc.Node{}
+	serviceNodes, routeNodes := map[string]jsonc.Node{}, map[string]jsonc.Node{}
 	root.Object(map[string]func(jsonc.Node){
-		"institution": func(n jsonc.Node) { doc.Institution = name(n) },
+		"institution": func(n jsonc.Node) { doc.Institution = readName(n) },
 		"terms":       func(n jsonc.Node) { contract.read(n) },
 		"revision":    func(n jsonc.Node) { doc.Revision = n.Uint(1, maxRevision) },
-		"services":    func(n jsonc.Node) { readServices(n, doc, places) },
-		"routes":      func(n jsonc.Node) { readRoutes(n, doc, routePlaces) },
+		"services":    func(n jsonc.Node) { readServices(n, doc, serviceNodes) },
+		"routes":      func(n jsonc.Node) { readRoutes(n, doc, routeNodes) },
 		"limits":      func(n jsonc.Node) { doc.Limits = readLimits(n) },
 	}, "institution", "services")
-	checkDependencies(doc, places)
-	checkRoutes(doc, places)
-	checkRouteTargets(doc, routePlaces)
+	checkDependencies(doc, serviceNodes)
+	checkServiceRoutes(doc, serviceNodes)
+	checkRouteTargets(doc, routeNodes)
 	contract.apply(doc)
 	if problems := reader.Problems(); len(problems) > 0 {
 		return nil, problems
@@ -110,12 +114,13 @@
 
 func (t *terms) read(n jsonc.Node) {
 	n.Object(map[string]func(jsonc.Node){
-		// A budget that a text states is the whole: it does not grow with the endpoints.
+		// A budget stated in the text is the total: it does not grow with the number of
+		// endpoints.
 		"reportsPerSecond": func(n jsonc.Node) {
-			t.measure.ReportsPerSecond, t.measure.ReportsPerEndpoint = uint32(n.Uint(0, maxBudgetRate)), 0
+			t.measure.ReportsPerSecond, t.measure.ReportsPerEndpoint = uint32(n.Uint(0, maxBudgetPerSecond)), 0
 		},
 		"bytesPerSecond": func(n jsonc.Node) {
-			t.measure.BytesPerSecond, t.measure.BytesPerEndpoint = uint32(n.Uint(0, maxBudgetRate)), 0
+			t.measure.BytesPerSecond, t.measure.BytesPerEndpoint = uint32(n.Uint(0, maxBudgetPerSecond)), 0
 		},
 		"retryPercent": func(n jsonc.Node) { t.retryPercent = n.Uint(0, maxRetryPercent) },
 	})
@@ -128,7 +133,7 @@
 	}
 }
 
-func readServices(n jsonc.Node, doc *Document, places map[string]jsonc.Node) {
+func readServices(n jsonc.Node, doc *Document, serviceNodes map[string]jsonc.Node) {
 	members := n.Members()
 	if len(members) > maxServices {
 		n.Fail(fmt.Sprintf("%d services, more than the %d allowed", len(members), maxServices), "split the institution's text")
@@ -139,7 +144,7 @@
 			m.Key.Fail(fmt.Sprintf("%q is not a valid service name", m.Name), NameRemedy)
 			continue
 		}
-		places[m.Name] = m.Value
+		serviceNodes[m.Name] = m.Value
 		doc.Services[m.Name] = readService(m.Value)
 	}
 }
@@ -151,43 +156,44 @@
 		SlowStartMs:       uint32(defaultSlowStart.Milliseconds()),
 		IdempotentMethods: []string{"GET", "HEAD", "OPTIONS"},
 	}
-	queueGiven := false
+	hasQueue := false
 	n.Object(map[string]func(jsonc.Node){
-		"hosts":        func(n jsonc.Node) { spec.Hosts = names(n) },
-		"pathPrefixes": func(n jsonc.Node) { spec.PathPrefixes = prefixes(n) },
-		"dependsOn":    func(n jsonc.Node) { spec.DependsOn = names(n) },
+		"hosts":        func(n jsonc.Node) { spec.Hosts = readNames(n) },
+		"pathPrefixes": func(n jsonc.Node) { spec.PathPrefixes = readPathPrefixes(n) },
+		"dependsOn":    func(n jsonc.Node) { spec.DependsOn = readNames(n) },
 		"slots":        func(n jsonc.Node) { spec.Slots = uint32(n.Uint(1, maxSlots)) },
 		"queue": func(n jsonc.Node) {
-			spec.Queue = uint32(n.Uint(0, maxQueue))
-			queueGiven = true
+			spec.Queue = uint32(n.Uint(0, maxQueueLength))
+			hasQueue = true
 		},
-		"timeout":      func(n jsonc.Node) { spec.TimeoutMs = millis(n, time.Millisecond, MaxTimeout) },
-		"idempotent":   func(n jsonc.Node) { spec.IdempotentMethods = methods(n) },
+		"timeout":      func(n jsonc.Node) { spec.TimeoutMs = readMillis(n, time.Millisecond, MaxTimeout) },
+		"idempotent":   func(n jsonc.Node) { spec.IdempotentMethods = readMethods(n) },
 		"maxAttempts":  func(n jsonc.Node) { spec.MaxAttempts = uint32(n.Uint(1, maxAttempts)) },
-		"slowStart":    func(n jsonc.Node) { spec.SlowStartMs = millis(n, 0, MaxTimeout) },
+		"slowStart":    func(n jsonc.Node) { spec.SlowStartMs = readMillis(n, 0, MaxTimeout) },
 		"maxBodyBytes": func(n jsonc.Node) { spec.MaxBodyBytes = n.Uint(0, 1<<50) },
 		"coldRequestsPerSecond": func(n jsonc.Node) {
 			spec.ColdRequestsPerSecond = uint32(n.Uint(1, MaxColdRate))
 		},
-		"healthPath": func(n jsonc.Node) { spec.HealthPath = prefix(n) },
+		"healthPath": func(n jsonc.Node) { spec.HealthPath = readPathPrefix(n) },
 		"maxConnections": func(n jsonc.Node) {
 			spec.MaxConnections = uint32(n.Uint(0, MaxConnections))
 		},
 	}, "slots")
-	if !queueGiven {
-		spec.Queue = spec.Slots * queuePerSlot
+	if !hasQueue {
+		spec.Queue = spec.Slots * defaultQueuePerSlot
 	}
 	return spec
 }
 
-func millis(n jsonc.Node, low, high time.Duration) uint32 {
+func readMillis(n jsonc.Node, low, high time.Duration) uint32 {
 	return uint32(n.Duration(low, high).Milliseconds())
 }
 
-// NameRemedy tells what ValidName accepts.
+// NameRemedy is the remedy for a name that ValidName rejects.
 const NameRemedy = "use 1 to 63 letters, digits, dots, hyphens and underscores"
 
-// ValidName tells whether a service, an institution or a data centre may be named so.
+// ValidName reports whether s is a valid name for a service, an institution or a
+// data centre.
 func ValidName(s string) bool {
 	if s == "" || len(s) > 63 {
 		return false
@@ -200,7 +206,7 @@
 	return true
 }
 
-func name(n jsonc.Node) string {
+func readName(n jsonc.Node) string {
 	s := n.String()
 	if !ValidName(s) {
 		n.Fail(fmt.Sprintf("%q is not a valid name", s), NameRemedy)
@@ -208,18 +214,19 @@
 	return s
 }
 
-func names(n jsonc.Node) []string {
+// readNames reads a list of distinct names.
+func readNames(n jsonc.Node) []string {
 	elements := n.Elements()
-	if len(elements) > maxNames {
-		n.Fail(fmt.Sprintf("%d names, more than the %d allowed", len(elements), maxNames), "shorten the list")
+	if len(elements) > maxNamesPerList {
+		n.Fail(fmt.Sprintf("%d names, more than the %d allowed", len(elements), maxNamesPerList), "shorten the list")
 		return nil
 	}
 	seen := map[string]bool{}
 	var list []string
 	for _, e := range elements {
-		s := name(e)
+		s := readName(e)
 		if seen[s] {
-			e.Fail(fmt.Sprintf("%q stands twice", s), "keep one of the two")
+			e.Fail(fmt.Sprintf("duplicate name %q", s), "remove one of the two")
 		}
 		seen[s] = true
 		list = append(list, s)
@@ -227,45 +234,47 @@
 	return list
 }
 
-func prefixes(n jsonc.Node) []string { return jsonc.List(n, prefix) }
+func readPathPrefixes(n jsonc.Node) []string { return jsonc.List(n, readPathPrefix) }
 
-func methods(n jsonc.Node) []string {
+func readMethods(n jsonc.Node) []string {
 	return jsonc.List(n, func(e jsonc.Node) string { return e.OneOf("GET", "HEAD", "OPTIONS", "PUT", "DELETE", "POST", "PATCH") })
 }
 
-// checkDependencies refuses dependencies that do not exist, and cycles: a
-// request that can come back to its own service can wait for itself until
-// every slot on the way is taken.
-func checkDependencies(doc *Document, places map[string]jsonc.Node) {
+// checkDependencies reports dependencies on services that do not exist, and
+// dependency cycles. In a cycle, a request can reach its own service again and wait
+// for itself until all slots on its path are occupied.
+func checkDependencies(doc *Document, serviceNodes map[string]jsonc.Node) {
 	for _, from := range slices.Sorted(maps.Keys(doc.Services)) {
 		for _, to := range doc.Services[from].DependsOn {
 			if _, ok := doc.Services[to]; !ok {
-				places[from].Fail(fmt.Sprintf("service %q depends on %q, which is not in this text", from, to), "add the service or drop the dependency")
+				serviceNodes[from].Fail(fmt.Sprintf("service %q depends on %q, which is not in this text", from, to), "add the service or drop the dependency")
 			}
 		}
 	}
 	if cycle := findCycle(doc); cycle != nil {
-		places[cycle[0]].Fail("dependencies form a cycle: "+strings.Join(cycle, " → "), "remove one of these dependencies")
+		serviceNodes[cycle[0]].Fail("dependencies form a cycle: "+strings.Join(cycle, " → "), "remove one of these dependencies")
 	}
 }
 
+// findCycle returns a dependency cycle that starts and ends with the same service,
+// or nil if there is none.
 func findCycle(doc *Document) []string {
 	const (
-		unseen = iota
-		open
-		closed
+		unvisited = iota
+		inProgress
+		done
 	)
-	state := map[string]int{}
+	visitState := map[string]int{}
 	var path []string
 	var visit func(string) []string
 	visit = func(s string) []string {
-		state[s] = open
+		visitState[s] = inProgress
 		path = append(path, s)
 		for _, to := range doc.Services[s].DependsOn {
-			if doc.Services[to] == nil || state[to] == closed {
+			if doc.Services[to] == nil || visitState[to] == done {
 				continue
 			}
-			if state[to] == open {
+			if visitState[to] == inProgress {
 				return cycleFrom(path, to)
 			}
 			if cycle := visit(to); cycle != nil {
@@ -273,11 +282,11 @@
 			}
 		}
 		path = path[:len(path)-1]
-		state[s] = closed
+		visitState[s] = done
 		return nil
 	}
 	for _, s := range slices.Sorted(maps.Keys(doc.Services)) {
-		if state[s] == unseen {
+		if visitState[s] == unvisited {
 			if cycle := visit(s); cycle != nil {
 				return cycle
 			}
@@ -286,6 +295,7 @@
 	return nil
 }
 
+// cycleFrom returns the cycle that path forms when it reaches start again.
 func cycleFrom(path []string, start string) []string {
 	for i, s := range path {
 		if s == start {
@@ -295,22 +305,24 @@
 	return nil
 }
 
-// checkRoutes refuses two services that claim the same host and path, since a
-// request would then reach one or the other by chance.
-func checkRoutes(doc *Document, places map[string]jsonc.Node) {
-	claimed := map[string]string{}
+// checkServiceRoutes reports two services with the same host and path prefix, since
+// it would be arbitrary which of them receives a request.
+func checkServiceRoutes(doc *Document, serviceNodes map[string]jsonc.Node) {
+	owners := map[string]string{}
 	for _, s := range slices.Sorted(maps.Keys(doc.Services)) {
-		for _, route := range routes(doc.Services[s]) {
-			if other, taken := claimed[route]; taken {
-				places[s].Fail(fmt.Sprintf("services %q and %q claim the same route %q", other, s, route), "change a host or a path prefix of one of them")
+		for _, route := range serviceRoutes(doc.Services[s]) {
+			if other, exists := owners[route]; exists {
+				serviceNodes[s].Fail(fmt.Sprintf("services %q and %q claim the same route %q", other, s, route), "change a host or a path prefix of one of them")
 				continue
 			}
-			claimed[route] = s
+			owners[route] = s
 		}
 	}
 }
 
-func routes(spec *apiv1.ServiceSpec) []string {
+// serviceRoutes returns all combinations of a service's hosts and path prefixes. A
+// service with neither has no routes.
+func serviceRoutes(spec *apiv1.ServiceSpec) []string {
 	var list []string
 	hosts, paths := spec.Hosts, spec.PathPrefixes
 	if len(hosts) == 0 && len(paths) == 0 {
--- a/core/estate/estate_test.go
+++ b/core/estate/estate_test.go
@@ -20,7 +20,7 @@
 		{"not an object", `[]`, []string{"expected an object"}},
 		{"no fields", `{}`, []string{`field "institution" is missing`, `field "services" is missing`}},
 		{"unknown field", `{"institution": "a", "services": {}, "colour": 1}`, []string{`unknown field "colour"`}},
-		{"twice the same name", `{"institution": "a", "institution": "b", "services": {}}`, []string{`duplicate name "institution"`}},
+		{"duplicate field", `{"institution": "a", "institution": "b", "services": {}}`, []string{`duplicate name "institution"`}},
 		{"zero slots", `{"institution": "a", "services": {"x": {"slots": 0}}}`, []string{"line 1, column 50, field services.x.slots: 0 is out of range"}},
 		{"absurd slots", `{"institution": "a", "services": {"x": {"slots": 99999999999999999999}}}`, []string{"out of range"}},
 		{"negative", `{"institution": "a", "services": {"x": {"slots": -1}}}`, []string{"out of range"}},
@@ -28,7 +28,7 @@
 		{"missing slots", `{"institution": "a", "services": {"x": {}}}`, []string{`field "slots" is missing`}},
 		{"dangling dependency", `{"institution": "a", "services": {"x": {"slots": 1, "dependsOn": ["y"]}}}`, []string{`depends on "y", which is not in this text`}},
 		{"cycle", `{"institution": "a", "services": {"x": {"slots": 1, "dependsOn": ["y"]}, "y": {"slots": 1, "dependsOn": ["x"]}}}`, []string{"cycle: x → y → x"}},
-		{"own dependency", `{"institution": "a", "services": {"x": {"slots": 1, "dependsOn": ["x"]}}}`, []string{"cycle: x → x"}},
+		{"dependency on itself", `{"institution": "a", "services": {"x": {"slots": 1, "dependsOn": ["x"]}}}`, []string{"cycle: x → x"}},
 		{"same route", `{"institution": "a", "services": {"x": {"slots": 1, "hosts": ["h"]}, "y": {"slots": 1, "hosts": ["h"]}}}`, []string{"claim the same route"}},
 		{"bad timeout", `{"institution": "a", "services": {"x": {"slots": 1, "timeout": "soon"}}}`, []string{"not a duration in range"}},
 		{"bad prefix", `{"institution": "a", "services": {"x": {"slots": 1, "pathPrefixes": ["x"]}}}`, []string{"does not start with a slash"}},
@@ -37,8 +37,8 @@
 		{"invalid UTF-8", "{\"institution\": \"\xff\"}", []string{"line 1, column 18: the text is not valid UTF-8"}},
 		{"too deep", strings.Repeat("[", 100), []string{"nested more than"}},
 		{"too large", "//" + strings.Repeat("x", jsonc.MaxBytes), []string{"more than the"}},
-		{"cut off", `{"institution": "a"`, []string{"line 1"}},
-		{"all faults at once", `{"institution": "", "services": {"x": {"slots": 0, "queue": -1, "what": 1}}}`, []string{"not a valid name", "slots: 0", "queue: -1", `"what"`}},
+		{"truncated text", `{"institution": "a"`, []string{"line 1"}},
+		{"all problems reported together", `{"institution": "", "services": {"x": {"slots": 0, "queue": -1, "what": 1}}}`, []string{"not a valid name", "slots: 0", "queue: -1", `"what"`}},
 	}
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
@@ -65,14 +65,15 @@
 	assert.Equal(t, x.Queue, uint32(8))
 	assert.Equal(t, x.RetryPerMille, uint32(200))
 	assert.Equal(t, x.Measure.ReportsPerSecond, uint32(7))
-	assert.Equal(t, x.Measure.ReportsPerEndpoint, uint32(0), "a stated budget is the whole")
+	assert.Equal(t, x.Measure.ReportsPerEndpoint, uint32(0), "a stated budget is the total")
 	assert.Equal(t, x.Measure.BytesPerEndpoint, uint32(defaultBytesPerEndpoint))
 	assert.Equal(t, y.Queue, uint32(9))
 	assert.Equal(t, y.TimeoutMs, uint32(250))
 	assert.Equal(t, len(y.IdempotentMethods), 0)
 }
 
-// FuzzParse: no text may crash the parser, and a refusal always says why.
+// FuzzParse checks that no text crashes the parser and that Parse returns either a
+// document or at least one problem.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{`{}`, `{"institution": "a", "services": {"x": {"slots": 1}}}`, `[[[[`, `{"a":`, "/*", "//", `{"institution": "a", "services": {"x": {"slots": 1, "dependsOn": ["x"]}}}`, `"\u0000"`, "\xff"} {
 		f.Add([]byte(seed))
@@ -85,7 +86,7 @@
 	})
 }
 
-func submit(id string, base uint64, services ...string) *apiv1.Change {
+func submitServices(id string, base uint64, services ...string) *apiv1.Change {
 	var list []string
 	for _, s := range services {
 		list = append(list, fmt.Sprintf("%q: {\"slots\": 1}", s))
@@ -94,51 +95,52 @@
 	return &apiv1.Change{Id: id, Kind: &apiv1.Change_Submit{Submit: &apiv1.SubmitChange{Institution: "a", BaseRevision: base, TextGzip: Gzip([]byte(text))}}}
 }
 
-// An operator's answer is lost and the change is sent again: it gets the first
-// answer and is applied once, also after later changes.
-func TestResentChangeGetsItsFirstAnswer(t *testing.T) {
+// Guards against a change that is applied twice: its response is lost and the
+// operator resends it, also after later changes. It gets the first outcome again.
+func TestResentChangeGetsFirstOutcome(t *testing.T) {
 	s := NewState()
-	first := s.Apply(1, submit("one", 0, "x"))
+	first := s.Apply(1, submitServices("one", 0, "x"))
 	assert.Equal(t, first.Revision, uint64(1))
-	s.Apply(2, submit("two", 1, "x", "y"))
-	again := s.Apply(3, submit("one", 0, "x"))
+	s.Apply(2, submitServices("two", 1, "x", "y"))
+	again := s.Apply(3, submitServices("one", 0, "x"))
 	assert.Equal(t, again.Outcome, apiv1.Outcome_OUTCOME_ACCEPTED)
 	assert.Equal(t, again.Revision, uint64(1))
 	assert.Equal(t, s.Revision(), uint64(2))
 }
 
-// Two operators change the same revision: one is accepted, the other gets a
-// conflict that names the newest, and nothing of it applies.
-func TestEqualBaseRevisionsAdmitOne(t *testing.T) {
+// Two operators submit changes with the same base revision. One is accepted; the
+// other gets a conflict with the newest revision and is not applied.
+func TestEqualBaseRevisionsAcceptOne(t *testing.T) {
 	s := NewState()
-	s.Apply(1, submit("one", 0, "x"))
-	won := s.Apply(2, submit("two", 1, "x", "y"))
-	lost := s.Apply(3, submit("three", 1, "z"))
-	assert.Equal(t, won.Outcome, apiv1.Outcome_OUTCOME_ACCEPTED)
-	assert.Equal(t, lost.Outcome, apiv1.Outcome_OUTCOME_CONFLICT)
-	assert.Equal(t, lost.Revision, uint64(2))
+	s.Apply(1, submitServices("one", 0, "x"))
+	accepted := s.Apply(2, submitServices("two", 1, "x", "y"))
+	conflicting := s.Apply(3, submitServices("three", 1, "z"))
+	assert.Equal(t, accepted.Outcome, apiv1.Outcome_OUTCOME_ACCEPTED)
+	assert.Equal(t, conflicting.Outcome, apiv1.Outcome_OUTCOME_CONFLICT)
+	assert.Equal(t, conflicting.Revision, uint64(2))
 	assert.Assert(t, s.Records().Service("z") == nil)
 }
 
-// The same id with another text is a mistake and must not pass for the first.
+// A change that reuses the id of another with a different text must not be taken
+// for a resend of it.
 func TestReusedIDIsRefused(t *testing.T) {
 	s := NewState()
-	s.Apply(1, submit("one", 0, "x"))
-	r := s.Apply(2, submit("one", 1, "y"))
+	s.Apply(1, submitServices("one", 0, "x"))
+	r := s.Apply(2, submitServices("one", 1, "y"))
 	assert.Equal(t, r.Outcome, apiv1.Outcome_OUTCOME_ID_REUSED)
 	assert.Equal(t, s.Revision(), uint64(1))
 }
 
-// A replica that restores a snapshot must decide exactly as one that applied
-// every change: resends and conflicts included.
-func TestRestoredReplicaDecidesAlike(t *testing.T) {
+// A replica restored from a snapshot must decide changes exactly as one that applied
+// every change, including resent and conflicting changes.
+func TestRestoredReplicaDecidesIdentically(t *testing.T) {
 	a := NewState()
-	a.Apply(1, submit("one", 0, "x"))
-	a.Apply(2, submit("two", 1, "x", "y"))
+	a.Apply(1, submitServices("one", 0, "x"))
+	a.Apply(2, submitServices("two", 1, "x", "y"))
 	a.Apply(3, &apiv1.Change{Id: "drain", Kind: &apiv1.Change_Host{Host: &apiv1.HostChange{Host: "h", Draining: true}}})
 	b := NewState()
 	b.Restore(a.Snapshot())
-	for i, c := range []*apiv1.Change{submit("one", 0, "x"), submit("four", 1, "q"), submit("five", 2, "y")} {
+	for i, c := range []*apiv1.Change{submitServices("one", 0, "x"), submitServices("four", 1, "q"), submitServices("five", 2, "y")} {
 		ra, rb := a.Apply(uint64(4+i), c), b.Apply(uint64(4+i), c)
 		assert.Equal(t, ra.String(), rb.String())
 	}
@@ -149,10 +151,10 @@
 	assert.DeepEqual(t, sa, sb)
 }
 
-// Two institutions must not claim one service name: nodes route by it.
-func TestNameOfAnotherInstitutionIsRefused(t *testing.T) {
+// Two institutions must not use the same service name, since nodes route by it.
+func TestServiceNameOfAnotherInstitutionIsRefused(t *testing.T) {
 	s := NewState()
-	s.Apply(1, submit("one", 0, "x"))
+	s.Apply(1, submitServices("one", 0, "x"))
 	text := `{"institution": "b", "services": {"x": {"slots": 1}}}`
 	r := s.Apply(2, &apiv1.Change{Id: "two", Kind: &apiv1.Change_Submit{Submit: &apiv1.SubmitChange{Institution: "b", TextGzip: Gzip([]byte(text))}}})
 	assert.Equal(t, r.Outcome, apiv1.Outcome_OUTCOME_REFUSED)
--- a/core/estate/evacuation_test.go
+++ b/core/estate/evacuation_test.go
@@ -11,40 +11,40 @@
 	"cactuspath/core/rollout"
 )
 
-func evacuation(id, dataCenter string, evacuated bool) *apiv1.Change {
+func evacuationChange(id, dataCenter string, evacuated bool) *apiv1.Change {
 	return &apiv1.Change{Id: id, Operator: "op", Kind: &apiv1.Change_DataCenter{DataCenter: &apiv1.DataCenterChange{DataCenter: dataCenter, Evacuated: evacuated}}}
 }
 
-func numbered(id string, revision, base uint64) *apiv1.Change {
+func submitRevision(id string, revision, base uint64) *apiv1.Change {
 	text := fmt.Sprintf(`{"institution": "a", "revision": %d, "services": {"x": {"slots": 1}}}`, revision)
 	return &apiv1.Change{Id: id, Kind: &apiv1.Change_Submit{Submit: &apiv1.SubmitChange{Institution: "a", BaseRevision: base, TextGzip: Gzip([]byte(text))}}}
 }
 
-// Guards against a text that is refused since an evacuation came between: operators
-// number their texts, and know nothing of the stamps of other orders.
-func TestEvacuationTakesNoNumberOfATexts(t *testing.T) {
+// Guards against a text that is refused after an evacuation: operators number their
+// texts and do not know the revisions that evacuations take.
+func TestEvacuationDoesNotConsumeTextRevision(t *testing.T) {
 	s := NewState()
-	assert.Equal(t, s.Apply(1, numbered("one", 5, 0)).Outcome, apiv1.Outcome_OUTCOME_ACCEPTED)
+	assert.Equal(t, s.Apply(1, submitRevision("one", 5, 0)).Outcome, apiv1.Outcome_OUTCOME_ACCEPTED)
 	for i, on := range []bool{true, false, true} {
-		assert.Equal(t, s.Apply(uint64(2+i), evacuation(fmt.Sprint("e", i), "dc", on)).Outcome, apiv1.Outcome_OUTCOME_ACCEPTED)
+		assert.Equal(t, s.Apply(uint64(2+i), evacuationChange(fmt.Sprint("e", i), "dc", on)).Outcome, apiv1.Outcome_OUTCOME_ACCEPTED)
 	}
 	assert.Equal(t, s.Document("a").Revision, uint64(5))
-	next := s.Apply(9, numbered("two", 6, 5))
+	next := s.Apply(9, submitRevision("two", 6, 5))
 	assert.Equal(t, next.Outcome, apiv1.Outcome_OUTCOME_ACCEPTED)
 	assert.Equal(t, next.Revision, uint64(6))
 	assert.Equal(t, s.Document("a").Revision, uint64(6))
-	assert.Equal(t, s.Apply(10, numbered("three", 6, 6)).Outcome, apiv1.Outcome_OUTCOME_REFUSED)
+	assert.Equal(t, s.Apply(10, submitRevision("three", 6, 6)).Outcome, apiv1.Outcome_OUTCOME_REFUSED)
 }
 
-// Guards against an evacuation that is lost or comes back: whatever sequence of orders,
-// resends, texts, drains, snapshots and late receivers, every replica and every node
-// that has caught up holds what the last order of each data centre says, and what is
-// rolled out is newer than what it replaces.
+// Guards against an evacuation that is lost or reappears. After any sequence of
+// evacuations, resends, submissions, drains, snapshots and late receivers, each
+// replica and each node that has caught up has the last evacuation state of every
+// data centre, and revisions never decrease.
 func TestEvacuationsInAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, node := NewState(), rollout.NewRecords()
 		want := map[string]bool{}
-		text := uint64(0)
+		textRevision := uint64(0)
 		var sent []*apiv1.Change
 		for i := range 60 {
 			index := uint64(i + 1)
@@ -52,20 +52,20 @@
 			before := s.Revision()
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0, 1:
-				change := evacuation(fmt.Sprint("e", i), dc, rapid.Bool().Draw(t, "evacuated"))
+				change := evacuationChange(fmt.Sprint("e", i), dc, rapid.Bool().Draw(t, "evacuated"))
 				assert.Equal(t, s.Apply(index, change).Outcome, apiv1.Outcome_OUTCOME_ACCEPTED)
 				want[dc] = change.GetDataCenter().Evacuated
 				sent = append(sent, change)
 			case 2:
 				if len(sent) > 0 {
-					// A resent order gets its first answer and changes nothing.
+					// A resent change gets its first outcome and changes nothing.
 					resent := rapid.SampledFrom(sent).Draw(t, "resent")
 					assert.Equal(t, s.Apply(index, resent).Outcome, apiv1.Outcome_OUTCOME_ACCEPTED)
 				}
 			case 3:
-				number := text + uint64(rapid.IntRange(1, 3).Draw(t, "step"))
-				assert.Equal(t, s.Apply(index, numbered(fmt.Sprint("t", i), number, text)).Outcome, apiv1.Outcome_OUTCOME_ACCEPTED)
-				text = number
+				next := textRevision + uint64(rapid.IntRange(1, 3).Draw(t, "step"))
+				assert.Equal(t, s.Apply(index, submitRevision(fmt.Sprint("t", i), next, textRevision)).Outcome, apiv1.Outcome_OUTCOME_ACCEPTED)
+				textRevision = next
 			case 4:
 				s.Apply(index, &apiv1.Change{Id: fmt.Sprint("h", i), Kind: &apiv1.Change_Host{Host: &apiv1.HostChange{Host: "h", Draining: i%2 == 0}}})
 			case 5:
@@ -79,8 +79,8 @@
 			for name, evacuated := range want {
 				assert.Equal(t, s.Records().Evacuated(name), evacuated, name)
 			}
-			if text > 0 {
-				assert.Equal(t, s.Document("a").Revision, text)
+			if textRevision > 0 {
+				assert.Equal(t, s.Document("a").Revision, textRevision)
 			}
 		}
 		node.Apply(s.Records().DeltaFor(node.Revision(), nil, nil, "h"))
--- a/core/estate/routes.go
+++ b/core/estate/routes.go
@@ -11,15 +11,15 @@
 	"cactuspath/core/jsonc"
 )
 
-// Limits of a text's routes. Some are exported for adapters that clamp values from other
-// formats.
+// Limits on the routes and caller limits of a text. Some are exported for adapters
+// that clamp values of other formats.
 const (
-	// maxRoutes keeps one text from costing every node its memory: a route takes
-	// some 300 bytes there.
-	maxRoutes = 20_000
-	maxShares = 1000
-	MaxWeight = 1_000_000
-	// MaxRouteTimeout is the longest that a caller may be kept waiting.
+	// maxRoutes prevents one text from exhausting the memory of every node, where a
+	// route takes about 300 bytes.
+	maxRoutes         = 20_000
+	maxSharesPerRoute = 1000
+	MaxWeight         = 1_000_000
+	// MaxRouteTimeout is the maximum time that a caller may wait for a response.
 	MaxRouteTimeout = 10 * time.Minute
 	MaxPriority     = 1_000_000
 	MaxRouteTries   = 100
@@ -34,8 +34,8 @@
 	"upload": apiv1.RouteKind_ROUTE_KIND_UPLOAD,
 }
 
-// readRoutes reads the routes by name.
-func readRoutes(n jsonc.Node, doc *Document, places map[string]jsonc.Node) {
+// readRoutes reads the routes into doc and stores the node of each in routeNodes.
+func readRoutes(n jsonc.Node, doc *Document, routeNodes map[string]jsonc.Node) {
 	members := n.Members()
 	if len(members) > maxRoutes {
 		n.Fail(fmt.Sprintf("%d routes, more than the %d allowed", len(members), maxRoutes), "split the institution's text")
@@ -46,7 +46,7 @@
 			m.Key.Fail("a route has an empty name", "name the route")
 			continue
 		}
-		places[m.Name] = m.Value
+		routeNodes[m.Name] = m.Value
 		doc.Routes[m.Name] = readRoute(m.Value)
 	}
 }
@@ -55,24 +55,25 @@
 	spec := &apiv1.RouteSpec{TimeoutMs: uint32(defaultTimeout.Milliseconds()), MaxAttempts: defaultAttempts}
 	n.Object(map[string]func(jsonc.Node){
 		"host":        func(n jsonc.Node) { spec.Host = strings.ToLower(n.String()) },
-		"pathPrefix":  func(n jsonc.Node) { spec.PathPrefix = prefix(n) },
+		"pathPrefix":  func(n jsonc.Node) { spec.PathPrefix = readPathPrefix(n) },
 		"kind":        func(n jsonc.Node) { spec.Kind = routeKinds[n.OneOf("safe", "unsafe", "upload")] },
-		"timeout":     func(n jsonc.Node) { spec.TimeoutMs = millis(n, time.Millisecond, MaxRouteTimeout) },
-		"aim":         func(n jsonc.Node) { spec.AimMs = millis(n, 0, MaxRouteTimeout) },
+		"timeout":     func(n jsonc.Node) { spec.TimeoutMs = readMillis(n, time.Millisecond, MaxRouteTimeout) },
+		"aim":         func(n jsonc.Node) { spec.AimMs = readMillis(n, 0, MaxRouteTimeout) },
 		"priority":    func(n jsonc.Node) { spec.Priority = uint32(n.Uint(0, MaxPriority)) },
 		"maxAttempts": func(n jsonc.Node) { spec.MaxAttempts = uint32(n.Uint(1, MaxRouteTries)) },
 		"service": func(n jsonc.Node) {
-			spec.Shares = []*apiv1.RouteShare{{Service: name(n), Weight: 1}}
+			spec.Shares = []*apiv1.RouteShare{{Service: readName(n), Weight: 1}}
 		},
 		"split": func(n jsonc.Node) { spec.Shares = readShares(n) },
 	}, "pathPrefix", "kind")
 	if len(spec.Shares) == 0 {
-		n.Fail("the route leads to no service", `add "service": "…" or "split": […]`)
+		n.Fail("the route has no service", `add "service": "…" or "split": […]`)
 	}
 	return spec
 }
 
-func prefix(n jsonc.Node) string {
+// readPathPrefix reads a path prefix, which must start with a slash.
+func readPathPrefix(n jsonc.Node) string {
 	s := n.String()
 	if !strings.HasPrefix(s, "/") {
 		n.Fail(fmt.Sprintf("path prefix %q does not start with a slash", s), `write "/…"`)
@@ -80,10 +81,12 @@
 	return s
 }
 
+// readShares reads the weighted services of a route. At least one weight must be
+// above 0.
 func readShares(n jsonc.Node) []*apiv1.RouteShare {
 	elements := n.Elements()
-	if len(elements) > maxShares {
-		n.Fail(fmt.Sprintf("%d shares, more than the %d allowed", len(elements), maxShares), "shorten the list")
+	if len(elements) > maxSharesPerRoute {
+		n.Fail(fmt.Sprintf("%d shares, more than the %d allowed", len(elements), maxSharesPerRoute), "shorten the list")
 		return nil
 	}
 	var list []*apiv1.RouteShare
@@ -91,7 +94,7 @@
 	for _, e := range elements {
 		share := &apiv1.RouteShare{}
 		e.Object(map[string]func(jsonc.Node){
-			"service": func(n jsonc.Node) { share.Service = name(n) },
+			"service": func(n jsonc.Node) { share.Service = readName(n) },
 			"weight":  func(n jsonc.Node) { share.Weight = uint32(n.Uint(0, MaxWeight)) },
 		}, "service", "weight")
 		total += share.Weight
@@ -103,23 +106,23 @@
 	return list
 }
 
-// checkRouteTargets refuses routes to services that are not in the text, and
-// two routes for the same host and path prefix.
-func checkRouteTargets(doc *Document, places map[string]jsonc.Node) {
-	claimed := map[string]string{}
+// checkRouteTargets reports routes to services that are not in the text, and
+// routes with the same host and path prefix.
+func checkRouteTargets(doc *Document, routeNodes map[string]jsonc.Node) {
+	owners := map[string]string{}
 	for _, route := range slices.Sorted(maps.Keys(doc.Routes)) {
 		spec := doc.Routes[route]
 		for _, share := range spec.Shares {
 			if doc.Services[share.Service] == nil {
-				places[route].Fail(fmt.Sprintf("route %q leads to service %q, which is not in this text", route, share.Service), "add the service or change the route")
+				routeNodes[route].Fail(fmt.Sprintf("route %q refers to service %q, which is not in this text", route, share.Service), "add the service or change the route")
 			}
 		}
-		place := spec.Host + spec.PathPrefix
-		if other, taken := claimed[place]; taken {
-			places[route].Fail(fmt.Sprintf("routes %q and %q have the same host and path prefix %q", other, route, place), "change the host or the prefix of one of them")
+		hostAndPrefix := spec.Host + spec.PathPrefix
+		if other, exists := owners[hostAndPrefix]; exists {
+			routeNodes[route].Fail(fmt.Sprintf("routes %q and %q have the same host and path prefix %q", other, route, hostAndPrefix), "change the host or the prefix of one of them")
 			continue
 		}
-		claimed[place] = route
+		owners[hostAndPrefix] = route
 	}
 }
 
@@ -128,8 +131,8 @@
 	n.Object(map[string]func(jsonc.Node){
 		"maxHeaderBytes": func(n jsonc.Node) { limits.MaxHeaderBytes = uint32(n.Uint(0, MaxHeaderBytes)) },
 		"maxBodyBytes":   func(n jsonc.Node) { limits.MaxBodyBytes = n.Uint(0, MaxBodyBytes) },
-		"headerTimeout":  func(n jsonc.Node) { limits.HeaderTimeoutMs = millis(n, 0, MaxCallerWait) },
-		"idleTimeout":    func(n jsonc.Node) { limits.IdleTimeoutMs = millis(n, 0, MaxCallerWait) },
+		"headerTimeout":  func(n jsonc.Node) { limits.HeaderTimeoutMs = readMillis(n, 0, MaxCallerWait) },
+		"idleTimeout":    func(n jsonc.Node) { limits.IdleTimeoutMs = readMillis(n, 0, MaxCallerWait) },
 	})
 	return limits
 }
--- a/core/estate/routes_test.go
+++ b/core/estate/routes_test.go
@@ -10,12 +10,12 @@
 	apiv1 "cactuspath/api/cactuspath/v1"
 )
 
-func routed(revision int, routes string) string {
+func textWithRoutes(revision int, routes string) string {
 	return fmt.Sprintf(`{"institution": "site", "revision": %d, "services": {"a": {"slots": 1}, "b": {"slots": 1}}, "routes": {%s}}`, revision, routes)
 }
 
-func TestRouteIsReadWhole(t *testing.T) {
-	doc, problems := Parse([]byte(routed(7, `"r": {"host": "A.example", "pathPrefix": "/x/", "kind": "safe", "timeout": "1.2s", "aim": "500ms", "priority": 2,
+func TestParseRoute(t *testing.T) {
+	doc, problems := Parse([]byte(textWithRoutes(7, `"r": {"host": "A.example", "pathPrefix": "/x/", "kind": "safe", "timeout": "1.2s", "aim": "500ms", "priority": 2,
 		"maxAttempts": 2, "split": [{"service": "a", "weight": 90}, {"service": "b", "weight": 10}]}`)))
 	assert.Equal(t, len(problems), 0, "%v", problems)
 	assert.Equal(t, doc.Revision, uint64(7))
@@ -30,20 +30,20 @@
 	assert.Equal(t, r.Shares[1].Weight, uint32(10))
 }
 
-func TestRoutesThatAreRefused(t *testing.T) {
+func TestParseRefusesRoutes(t *testing.T) {
 	cases := []struct{ desc, routes, want string }{
 		{"an unknown service", `"r": {"pathPrefix": "/", "kind": "safe", "service": "c"}`, "not in this text"},
-		{"no service at all", `"r": {"pathPrefix": "/", "kind": "safe"}`, "leads to no service"},
+		{"no service at all", `"r": {"pathPrefix": "/", "kind": "safe"}`, "has no service"},
 		{"weights of 0", `"r": {"pathPrefix": "/", "kind": "safe", "split": [{"service": "a", "weight": 0}]}`, "add up to 0"},
-		{"the same place twice", `"r": {"pathPrefix": "/x/", "kind": "safe", "service": "a"}, "s": {"pathPrefix": "/x/", "kind": "unsafe", "service": "b"}`, "same host and path prefix"},
+		{"duplicate host and path prefix", `"r": {"pathPrefix": "/x/", "kind": "safe", "service": "a"}, "s": {"pathPrefix": "/x/", "kind": "unsafe", "service": "b"}`, "same host and path prefix"},
 		{"an unknown kind", `"r": {"pathPrefix": "/", "kind": "odd", "service": "a"}`, "odd"},
 		{"no attempts", `"r": {"pathPrefix": "/", "kind": "safe", "service": "a", "maxAttempts": 0}`, "maxAttempts"},
-		{"a time limit over ten minutes", `"r": {"pathPrefix": "/", "kind": "safe", "service": "a", "timeout": "11m"}`, "timeout"},
+		{"a timeout over ten minutes", `"r": {"pathPrefix": "/", "kind": "safe", "service": "a", "timeout": "11m"}`, "timeout"},
 		{"a prefix without a slash", `"r": {"pathPrefix": "x", "kind": "safe", "service": "a"}`, "slash"},
 	}
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
-			_, problems := Parse([]byte(routed(1, c.routes)))
+			_, problems := Parse([]byte(textWithRoutes(1, c.routes)))
 			assert.Assert(t, len(problems) > 0)
 			text := ""
 			for _, p := range problems {
@@ -54,41 +54,42 @@
 	}
 }
 
-func submission(id, text string, base uint64, content bool) *apiv1.Change {
+func submitText(id, text string, base uint64, content bool) *apiv1.Change {
 	return &apiv1.Change{Id: id, Kind: &apiv1.Change_Submit{Submit: &apiv1.SubmitChange{Institution: "site", BaseRevision: base, TextGzip: Gzip([]byte(text)), ContentId: content}}}
 }
 
-// Operators number their texts. A number that is not above the current one is
-// refused, although it builds on the right revision.
-func TestGivenRevisionMustGrow(t *testing.T) {
+// A text whose given revision is not above the current one is refused, even if its
+// base revision is right.
+func TestGivenRevisionMustIncrease(t *testing.T) {
 	s := NewState()
-	assert.Equal(t, s.Apply(1, submission("a", routed(12, ""), 0, false)).Revision, uint64(12))
-	assert.Equal(t, s.Apply(2, submission("b", routed(12, ""), 12, false)).Outcome, apiv1.Outcome_OUTCOME_REFUSED)
-	assert.Equal(t, s.Apply(3, submission("c", routed(15, ""), 12, false)).Revision, uint64(15))
+	assert.Equal(t, s.Apply(1, submitText("a", textWithRoutes(12, ""), 0, false)).Revision, uint64(12))
+	assert.Equal(t, s.Apply(2, submitText("b", textWithRoutes(12, ""), 12, false)).Outcome, apiv1.Outcome_OUTCOME_REFUSED)
+	assert.Equal(t, s.Apply(3, submitText("c", textWithRoutes(15, ""), 12, false)).Revision, uint64(15))
 	assert.Equal(t, s.Revision(), uint64(15))
 }
 
-// An operator's change is refused, since another one came first; later the same
-// bytes are right on top of what is current. Under an id that is a digest of them
-// they are looked at anew; once accepted, they get that answer for ever, or an
-// operator who lost the answer would be told that the change was refused.
-func TestChangeUnderItsDigestIsRefusedOnceAndAcceptedForEver(t *testing.T) {
+// A change whose id is a digest of its content gets a conflict and is resent later,
+// when its base revision is current. It must be decided again. Once accepted, it must
+// keep that outcome: otherwise an operator whose response was lost would be told that
+// the change was refused.
+func TestContentIDChangeIsReevaluatedUntilAccepted(t *testing.T) {
 	s := NewState()
-	late := submission("digest", routed(9, ""), 5, true)
-	assert.Equal(t, s.Apply(1, late).Outcome, apiv1.Outcome_OUTCOME_CONFLICT)
-	s.Apply(2, submission("x", routed(5, ""), 0, true))
-	assert.Equal(t, s.Apply(3, late).Outcome, apiv1.Outcome_OUTCOME_ACCEPTED)
-	s.Apply(4, submission("y", routed(11, ""), 9, true))
-	again := s.Apply(5, late)
+	change := submitText("digest", textWithRoutes(9, ""), 5, true)
+	assert.Equal(t, s.Apply(1, change).Outcome, apiv1.Outcome_OUTCOME_CONFLICT)
+	s.Apply(2, submitText("x", textWithRoutes(5, ""), 0, true))
+	assert.Equal(t, s.Apply(3, change).Outcome, apiv1.Outcome_OUTCOME_ACCEPTED)
+	s.Apply(4, submitText("y", textWithRoutes(11, ""), 9, true))
+	again := s.Apply(5, change)
 	assert.Equal(t, again.Outcome, apiv1.Outcome_OUTCOME_ACCEPTED)
 	assert.Equal(t, again.Revision, uint64(9))
 	assert.Equal(t, s.Revision(), uint64(11))
 }
 
-// What was sent comes back as it was, through a snapshot too.
-func TestSourceSurvivesASnapshot(t *testing.T) {
+// The source document of a text is returned unchanged, also after a snapshot was
+// restored.
+func TestSourceSurvivesSnapshot(t *testing.T) {
 	s := NewState()
-	change := submission("a", routed(3, `"r": {"pathPrefix": "/", "kind": "safe", "service": "a"}`), 0, true)
+	change := submitText("a", textWithRoutes(3, `"r": {"pathPrefix": "/", "kind": "safe", "service": "a"}`), 0, true)
 	change.GetSubmit().SourceGzip = Gzip([]byte(`{"odd": true}`))
 	s.Apply(1, change)
 	restored := NewState()
--- a/core/estate/state.go
+++ b/core/estate/state.go
@@ -16,13 +16,13 @@
 	"cactuspath/core/rollout"
 )
 
-// auditKept bounds the audit trail held in memory and in snapshots. At 22,000
-// changes a day it spans two days. A change resent after that cannot apply
-// twice: its base revision is long superseded.
-const auditKept = 50_000
+// maxAuditRecords is the maximum length of the audit trail in memory and in
+// snapshots. At 22,000 changes per day it covers two days. A change that is resent
+// later cannot apply twice, since its base revision is superseded by then.
+const maxAuditRecords = 50_000
 
-// State is the replicated state machine. Every replica applies the same
-// changes in the same order and so holds the same State.
+// State is the replicated state machine. All replicas apply the same changes in the
+// same order and therefore have the same State.
 type State struct {
 	documents map[string]*apiv1.Document
 	records   *rollout.Records
@@ -30,7 +30,7 @@
 	byID      map[string]*apiv1.AuditRecord
 }
 
-// NewState returns the state before the first change.
+// NewState returns an empty State.
 func NewState() *State {
 	return &State{
 		documents: map[string]*apiv1.Document{},
@@ -39,23 +39,24 @@
 	}
 }
 
-// Records gives the compiled records, for roll-out. The caller must not
-// modify them.
+// Records returns the compiled records for the rollout. The caller must not modify
+// them.
 func (s *State) Records() *rollout.Records { return s.records }
 
-// Revision is the newest accepted revision.
+// Revision returns the newest revision of the records.
 func (s *State) Revision() uint64 { return s.records.Revision() }
 
-// Document returns an institution's newest text, or nil.
+// Document returns the newest document of an institution, or nil.
 func (s *State) Document(institution string) *apiv1.Document { return s.documents[institution] }
 
-// Institutions names the institutions that have a document.
+// Institutions returns the sorted names of the institutions that have a document.
 func (s *State) Institutions() []string { return slices.Sorted(maps.Keys(s.documents)) }
 
-// Outcome returns the record of a change that was decided already, or nil.
+// Outcome returns the audit record of a change, or nil if the change was not
+// decided or its record was dropped.
 func (s *State) Outcome(changeID string) *apiv1.AuditRecord { return s.byID[changeID] }
 
-// Audit returns up to limit records whose log index is above after.
+// Audit returns up to limit audit records with a log index above after.
 func (s *State) Audit(after uint64, limit int) []*apiv1.AuditRecord {
 	var out []*apiv1.AuditRecord
 	for _, r := range s.audit {
@@ -66,12 +67,12 @@
 	return out
 }
 
-// Apply decides one change and returns its record. A change whose id was
-// decided before gets that first record: an operator who resends after a lost
-// answer must not have the change applied a second time.
+// Apply decides a change and returns its audit record. A change whose id was
+// already decided gets the first record again, so that a change resent after a lost
+// response is not applied twice.
 func (s *State) Apply(index uint64, change *apiv1.Change) *apiv1.AuditRecord {
 	digest := Digest(change)
-	if first := s.byID[change.Id]; first != nil && !s.decideAgain(change, first) {
+	if first := s.byID[change.Id]; first != nil && !s.reevaluates(change, first) {
 		if first.Digest != digest {
 			return &apiv1.AuditRecord{Id: change.Id, Digest: digest, Outcome: apiv1.Outcome_OUTCOME_ID_REUSED, Revision: first.Revision, Index: index}
 		}
@@ -88,14 +89,15 @@
 	default:
 		record.Outcome = apiv1.Outcome_OUTCOME_REFUSED
 	}
-	s.remember(record)
+	s.addAuditRecord(record)
 	return record
 }
 
-// decideAgain tells whether a change that was refused under its id is looked at
-// anew. An id that is a digest of the change says nothing of when it was sent:
-// the same text may be refused today and right on top of tomorrow's revision.
-func (s *State) decideAgain(change *apiv1.Change, first *apiv1.AuditRecord) bool {
+// reevaluates reports whether a change that was not accepted under its id is
+// decided again. An id that is a digest of the change does not depend on when the
+// change was sent: a text that is refused today may be valid on top of a later
+// revision.
+func (s *State) reevaluates(change *apiv1.Change, first *apiv1.AuditRecord) bool {
 	return change.GetSubmit().GetContentId() && first.Outcome != apiv1.Outcome_OUTCOME_ACCEPTED
 }
 
@@ -109,21 +111,23 @@
 	}
 	text, err := Gunzip(change.TextGzip)
 	if err != nil {
-		refuse(record, jsonc.Problem{Line: 1, Column: 1, Message: "the text cannot be unpacked: " + err.Error(), Remedy: "submit it again"})
+		refuse(record, jsonc.Problem{Line: 1, Column: 1, Message: "the text cannot be decompressed: " + err.Error(), Remedy: "submit it again"})
 		return
 	}
 	doc, problems := Parse(text)
 	if problems == nil {
-		problems = s.clashes(doc)
+		problems = s.nameConflicts(doc)
 	}
 	if problems != nil {
 		refuse(record, problems...)
 		return
 	}
-	// Drains and evacuations take stamps as well. An operator who numbers texts does not
-	// know of them, and was refused the next number after one.
-	stamp := s.records.Revision() + 1
-	revision := stamp
+	// Drains and evacuations also take revisions of the records, which operators who
+	// number their texts do not know of. A given revision is therefore compared with
+	// that of the institution's current document: comparing it with the records'
+	// refused the next number after a drain or an evacuation.
+	nextRevision := s.records.Revision() + 1
+	revision := nextRevision
 	if doc.Revision != 0 {
 		if doc.Revision <= current {
 			refuse(record, jsonc.Problem{Line: 1, Column: 1, Field: "revision", Message: fmt.Sprintf("revision %d is not above the current one, %d", doc.Revision, current),
@@ -132,20 +136,20 @@
 		}
 		revision = doc.Revision
 	}
-	s.records.Replace(doc.Institution, doc.Contents(), max(stamp, revision))
+	s.records.Replace(doc.Institution, doc.Contents(), max(nextRevision, revision))
 	s.documents[doc.Institution] = &apiv1.Document{Institution: doc.Institution, Revision: revision, TextGzip: change.TextGzip, SourceGzip: change.SourceGzip}
 	record.Outcome = apiv1.Outcome_OUTCOME_ACCEPTED
 	record.Revision = revision
 }
 
-// clashes finds service names that another institution holds already: names
-// are the key that nodes route by, so one name must mean one service.
-func (s *State) clashes(doc *Document) []jsonc.Problem {
+// nameConflicts reports service names that another institution already uses. Nodes
+// route by service name, so a name must identify a single service.
+func (s *State) nameConflicts(doc *Document) []jsonc.Problem {
 	var problems []jsonc.Problem
 	for _, name := range slices.Sorted(maps.Keys(doc.Services)) {
-		if held := s.records.Service(name); held != nil && !held.Removed && held.Institution != doc.Institution {
+		if current := s.records.Service(name); current != nil && !current.Removed && current.Institution != doc.Institution {
 			problems = append(problems, jsonc.Problem{Line: 1, Column: 1, Field: "services." + name,
-				Message: fmt.Sprintf("institution %q holds a service named %q", held.Institution, name), Remedy: "choose another name"})
+				Message: fmt.Sprintf("institution %q already has a service named %q", current.Institution, name), Remedy: "choose another name"})
 		}
 	}
 	return problems
@@ -179,21 +183,24 @@
 	s.records.SetDataCenter(change.DataCenter, change.Evacuated, record.Revision)
 }
 
+// refuse sets the outcome of record to refused with the given problems.
 func refuse(record *apiv1.AuditRecord, problems ...jsonc.Problem) {
 	record.Outcome = apiv1.Outcome_OUTCOME_REFUSED
 	record.Problems = Problems(problems)
 }
 
-func (s *State) remember(record *apiv1.AuditRecord) {
+// addAuditRecord appends a record to the audit trail and drops the oldest one above
+// maxAuditRecords.
+func (s *State) addAuditRecord(record *apiv1.AuditRecord) {
 	s.audit = append(s.audit, record)
 	s.byID[record.Id] = record
-	if len(s.audit) > auditKept {
+	if len(s.audit) > maxAuditRecords {
 		delete(s.byID, s.audit[0].Id)
 		s.audit = s.audit[1:]
 	}
 }
 
-// Snapshot returns the whole state in a deterministic order.
+// Snapshot returns the complete state in a deterministic order.
 func (s *State) Snapshot() *apiv1.EstateSnapshot {
 	snap := s.records.Snapshot()
 	for _, name := range slices.Sorted(maps.Keys(s.documents)) {
@@ -203,7 +210,7 @@
 	return snap
 }
 
-// Restore replaces the state by a snapshot's.
+// Restore replaces the state with that of a snapshot.
 func (s *State) Restore(snap *apiv1.EstateSnapshot) {
 	*s = *NewState()
 	s.records.Restore(snap)
@@ -216,8 +223,9 @@
 	}
 }
 
-// Digest identifies what a change asks for, without its id, operator and time.
-// The text is unpacked first, since two compressions of one text may differ.
+// Digest returns a hash of the content of a change, without its id, operator and
+// time. The text is decompressed first, since the compressed forms of equal texts
+// may differ.
 func Digest(change *apiv1.Change) uint64 {
 	h := xxhash.New()
 	switch kind := change.Kind.(type) {
@@ -233,7 +241,7 @@
 	return h.Sum64()
 }
 
-// Problems converts faults to their wire form.
+// Problems converts problems to protocol buffer messages.
 func Problems(problems []jsonc.Problem) []*apiv1.Problem {
 	out := make([]*apiv1.Problem, len(problems))
 	for i, p := range problems {
@@ -242,7 +250,7 @@
 	return out
 }
 
-// Gzip packs a text.
+// Gzip compresses a text or its source.
 func Gzip(text []byte) []byte {
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
@@ -257,19 +265,19 @@
 
 // Gunzip decompresses a text or its source. It returns an error if the result
 // exceeds MaxSourceBytes.
-func Gunzip(packed []byte) ([]byte, error) {
-	r, err := gzip.NewReader(bytes.NewReader(packed))
+func Gunzip(compressed []byte) ([]byte, error) {
+	r, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		return nil, err
 	}
 	text, err := io.ReadAll(io.LimitReader(r, MaxSourceBytes+1))
 	if err == nil && len(text) > MaxSourceBytes {
-		return nil, fmt.Errorf("it unpacks to more than %d bytes", MaxSourceBytes)
+		return nil, fmt.Errorf("the decompressed size exceeds %d bytes", MaxSourceBytes)
 	}
 	return text, err
 }
 
-// Marshal renders a snapshot as bytes.
+// Marshal encodes a snapshot deterministically.
 func Marshal(snap *apiv1.EstateSnapshot) ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(snap)
 }
