--- a/core/estate/document.go
+++ b/core/estate/document.go
@@ -226,7 +226,7 @@
 	for _, e := range elements {
 		s := readName(e)
 		if seen[s] {
-			e.Fail(fmt.Sprintf("duplicate name %q", s), "remove one of the two")
+			e.Fail(fmt.Sprintf("%q stands twice", s), "keep one of the two")
 		}
 		seen[s] = true
 		list = append(list, s)
--- a/core/estate/routes.go
+++ b/core/estate/routes.go
@@ -67,7 +67,7 @@
 		"split": func(n jsonc.Node) { spec.Shares = readShares(n) },
 	}, "pathPrefix", "kind")
 	if len(spec.Shares) == 0 {
-		n.Fail("the route has no service", `add "service": "…" or "split": […]`)
+		n.Fail("the route leads to no service", `add "service": "…" or "split": […]`)
 	}
 	return spec
 }
@@ -114,7 +114,7 @@
 		spec := doc.Routes[route]
 		for _, share := range spec.Shares {
 			if doc.Services[share.Service] == nil {
-				routeNodes[route].Fail(fmt.Sprintf("route %q refers to service %q, which is not in this text", route, share.Service), "add the service or change the route")
+				routeNodes[route].Fail(fmt.Sprintf("route %q leads to service %q, which is not in this text", route, share.Service), "add the service or change the route")
 			}
 		}
 		hostAndPrefix := spec.Host + spec.PathPrefix
--- a/core/jsonc/jsonc.go
+++ b/core/jsonc/jsonc.go
@@ -30,7 +30,8 @@
 )
 
 // Problem is one error in a text. Line and Column start at 1; Column counts
-// bytes.
+// bytes. Messages and remedies of refusals are stored in the replicated audit
+// trail, so every build must produce the same text for the same input.
 type Problem struct {
 	Line, Column int
 	Field        string
@@ -103,7 +104,7 @@
 		return false
 	}
 	if offset, exceeded := findExcessDepth(r.text); exceeded {
-		r.addProblem(offset, "", fmt.Sprintf("values are nested more than %d deep", maxDepth), "reduce the nesting; no field needs this depth")
+		r.addProblem(offset, "", fmt.Sprintf("values are nested more than %d deep", maxDepth), "flatten the text; no field needs this depth")
 		return false
 	}
 	return true
@@ -245,7 +246,7 @@
 		}
 		key := Node{n.reader, &m.Name, path}
 		if seen[name] {
-			key.Fail(fmt.Sprintf("duplicate name %q", name), "remove one of the two")
+			key.Fail(fmt.Sprintf("%q stands twice", name), "keep one of the two")
 			continue
 		}
 		seen[name] = true
