--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -67,7 +67,7 @@
 	{"a node without a configuration spares a cold server", "internal/node/server.go", "ColdRequestsPerSecond: slots}", "}", "internal/node", "SparedWhile"},
 	{"no pick in an evacuated data centre", "core/balancer/balancer.go", "if !c.Evacuated && test(now, c)", "if test(now, c)", "core/balancer", "EvacuatedCandidates"},
 	{"servers are taken for cold after an evacuation", "core/gate/server.go", "if g.evacuated && !evacuated && g.config.ColdStarts > 0 {", "if false {", "core/gate", "AfterAnEvacuation"},
-	{"an evacuation takes no number of a text's", "core/estate/state.go", "if doc.Revision <= current {", "if doc.Revision < stamp {", "core/estate", "EvacuationTakesNoNumber"},
+	{"an evacuation takes no number of a text's", "core/estate/state.go", "if doc.Revision <= current {", "if doc.Revision < nextRevision {", "core/estate", "EvacuationDoesNotConsume"},
 	{"a cold server gets no more than it bears", "core/gate/slots.go", "if g.startsLimited(now) {", "if false {", "core/gate", "ColdServerGets"},
 	{"starts before a server turned cold count", "core/gate/start.go", "g.cold.recordStart(now, g.config.ColdStarts)", "if g.isCold(now) {\n\t\tg.cold.recordStart(now, g.config.ColdStarts)\n\t}", "core/gate", "BeforeTheServerTurnedCold"},
 	{"late news of coldness does not shorten it", "core/gate/cold.go", "max(g.cold.until, now+left)", "now + left", "core/gate", "DelayedColdReport"},
@@ -149,9 +149,9 @@
 	{"a refused request is not sent to a leaving endpoint", "core/balancer/balancer.go", "\t\t\tfallback = notDraining\n", "\t\t\tfallback = anyCandidate\n", "core/balancer", "DrainingEndpoint"},
 
 	{"an older delta is left out", "core/rollout/records.go", "delta.Revision < r.revision || ", "", "core/rollout", "NeverMoves"},
-	{"an older or partial record is left out", "core/rollout/records.go", "if held == nil || held.ChangedAt < s.ChangedAt {", "if true {", "core/rollout", "LatePartial"},
+	{"an older or partial record is left out", "core/rollout/records.go", "if current == nil || current.ChangedAt < s.ChangedAt {", "if true {", "core/rollout", "LatePartial"},
 	{"a newly needed service comes whole", "core/rollout/records.go", "if s := r.services[name]; s != nil && s.ChangedAt <= since {", "if s := r.services[name]; s != nil && false {", "core/rollout", "NewlyNeeded"},
-	{"a resent change gets its first answer", "core/estate/state.go", "if first := s.byID[change.Id]; first != nil && !s.decideAgain(change, first) {", "if first := s.byID[change.Id]; false {", "core/estate", "Resent"},
+	{"a resent change gets its first answer", "core/estate/state.go", "if first := s.byID[change.Id]; first != nil && !s.reevaluates(change, first) {", "if first := s.byID[change.Id]; false {", "core/estate", "Resent"},
 	{"equal base revisions admit one", "core/estate/state.go", "if change.BaseRevision != current {", "if false {", "core/estate", "EqualBase"},
 
 	{"failed beats serving of the same claim", "core/directory/table.go", "return a.State == failed && b.State != failed", "return false && a.State == failed", "core/directory", ""},
