--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -45,7 +45,7 @@
 		longest = max(longest, c.Timeout.Duration())
 	}
 	end := scenario.Duration.Duration() + longest
-	s.clock.Drain(func() bool { return s.now() > end })
+	s.clock.RunUntil(func() bool { return s.now() > end })
 	return s.result.finish()
 }
 
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -16,13 +16,13 @@
 	noise, slowness float64
 	keepsPace       bool
 	rejects         float64
-	work            *virtual.Work[*job]
+	work            *virtual.Jobs[*job]
 	taken           int
 }
 
 func newServer(clock *virtual.Clock, service *Service) *server {
 	s := &server{slots: service.Slots, crowdShare: service.Crowd, crowdFactor: service.CrowdFactor, noise: 1, slowness: 1, keepsPace: service.KeepsPace}
-	s.work = virtual.NewWork(clock, s.speed, s.part)
+	s.work = virtual.NewJobs(clock, s.speed, s.part)
 	return s
 }
 
@@ -53,9 +53,9 @@
 // change lets time pass at the old speed, changes what decides the speed, and
 // plans anew.
 func (s *server) change(what func()) {
-	s.work.Pass()
+	s.work.Advance()
 	what()
-	s.work.Plan()
+	s.work.Reschedule()
 }
 
 func (s *server) start(j *job) {
@@ -71,7 +71,7 @@
 
 // enter begins the next part of a job's work.
 func (s *server) enter(j *job) {
-	s.work.Begin(j, time.Duration(j.pace*float64(j.parts[0])))
+	s.work.Add(j, time.Duration(j.pace*float64(j.parts[0])))
 	j.parts = j.parts[1:]
 }
 
@@ -82,7 +82,7 @@
 	}
 	s.change(func() {
 		j.over = true
-		s.work.Leave(j)
+		s.work.Remove(j)
 		s.taken--
 	})
 }
@@ -101,7 +101,7 @@
 		s.end(j, true)
 		return
 	}
-	s.change(func() { s.work.Leave(j) })
+	s.change(func() { s.work.Remove(j) })
 	j.between(func(ok bool) {
 		switch {
 		case j.over:
--- a/internal/replay/engine.go
+++ b/internal/replay/engine.go
@@ -11,7 +11,7 @@
 	clock    *virtual.Clock
 	speed    float64
 	failFast bool
-	work     *virtual.Work[*job]
+	work     *virtual.Jobs[*job]
 }
 
 type job struct{ done func(outcome jobOutcome) }
@@ -29,19 +29,19 @@
 
 func newServer(c *virtual.Clock) *server {
 	s := &server{clock: c, speed: 1}
-	s.work = virtual.NewWork(c, func() float64 { return s.speed }, func(j *job) { s.end(j, jobCompleted) })
+	s.work = virtual.NewJobs(c, func() float64 { return s.speed }, func(j *job) { s.end(j, jobCompleted) })
 	return s
 }
 
 func (s *server) start(demand time.Duration, done func(jobOutcome)) *job {
-	s.work.Pass()
+	s.work.Advance()
 	j := &job{done}
-	s.work.Begin(j, demand)
+	s.work.Add(j, demand)
 	if s.failFast {
 		s.clock.After(failFastTime, func() { s.end(j, jobFailed) })
 		return j
 	}
-	s.work.Plan()
+	s.work.Reschedule()
 	return j
 }
 
@@ -49,22 +49,22 @@
 	if !s.work.Has(j) {
 		return
 	}
-	s.work.Pass()
-	s.work.Leave(j)
+	s.work.Advance()
+	s.work.Remove(j)
 	j.done(outcome)
-	s.work.Plan()
+	s.work.Reschedule()
 }
 
 func (s *server) setSpeed(speed float64) {
-	s.work.Pass()
+	s.work.Advance()
 	s.speed = speed
-	s.work.Plan()
+	s.work.Reschedule()
 }
 
 func (s *server) kill() {
 	for j, ok := s.work.First(); ok; j, ok = s.work.First() {
-		s.work.Leave(j)
+		s.work.Remove(j)
 		j.done(jobKilled)
 	}
-	s.work.Plan()
+	s.work.Reschedule()
 }
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -69,7 +69,7 @@
 		s.At(e.At.Duration(), func() { s.change(e) })
 	}
 	last := trace.Header.Duration.Duration() + settleTime
-	s.Drain(func() bool { return s.Now() > last || s.result.calls == len(trace.Arrivals) })
+	s.RunUntil(func() bool { return s.Now() > last || s.result.calls == len(trace.Arrivals) })
 	return s.result.finish()
 }
 
--- a/internal/virtual/clock.go
+++ b/internal/virtual/clock.go
@@ -1,5 +1,6 @@
-// Package virtual has a clock for runs in virtual time: events in the order of
-// their times, without waiting. A Clock is not safe for concurrent use.
+// Package virtual provides a discrete-event clock, which runs simulations in
+// virtual time, and a model of the jobs at a server that share its speed. Its
+// types are not safe for concurrent use.
 package virtual
 
 import (
@@ -7,25 +8,25 @@
 	"time"
 )
 
-// Clock is a virtual clock with the events that are due. Events of one instant
-// run in the order in which they were scheduled.
+// Clock holds the current virtual time and the scheduled events. Events that
+// are due at the same time run in the order in which they were scheduled.
 type Clock struct {
-	now    time.Duration
-	events eventHeap
-	next   uint64
+	now       time.Duration
+	events    eventHeap
+	scheduled uint64
 }
 
 type event struct {
-	at    time.Duration
-	order uint64
-	run   func()
+	at       time.Duration
+	sequence uint64
+	run      func()
 }
 
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
 func (h eventHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
@@ -36,20 +37,21 @@
 	return last
 }
 
-// Now is the time since the start of the run.
+// Now returns the virtual time since the start of the run.
 func (c *Clock) Now() time.Duration { return c.now }
 
-// After runs an event when d has passed.
+// After schedules an event d from now.
 func (c *Clock) After(d time.Duration, run func()) { c.At(c.now+d, run) }
 
-// At runs an event at a time, or now if that has passed.
+// At schedules an event at time t, or now if t has passed.
 func (c *Clock) At(t time.Duration, run func()) {
-	c.next++
-	heap.Push(&c.events, event{max(t, c.now), c.next, run})
+	c.scheduled++
+	heap.Push(&c.events, event{max(t, c.now), c.scheduled, run})
 }
 
-// Drain runs events until none is left or done says so.
-func (c *Clock) Drain(done func() bool) {
+// RunUntil runs events in the order of their times, without waiting, until none
+// is left or done returns true.
+func (c *Clock) RunUntil(done func() bool) {
 	for len(c.events) > 0 && !done() {
 		e := heap.Pop(&c.events).(event)
 		c.now = e.at
