--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -1,4 +1,4 @@
-// Package latency keeps histograms of times for the metrics.
+// Package latency provides histograms of durations for the metrics.
 package latency
 
 import (
@@ -9,29 +9,31 @@
 )
 
 const (
-	// shortest and longest bound what is told apart, in microseconds.
-	shortest = 1
-	longest  = int64(time.Hour / time.Microsecond)
-	digits   = 2
+	// minMicros and maxMicros bound the recorded values, in microseconds.
+	minMicros         = 1
+	maxMicros         = int64(time.Hour / time.Microsecond)
+	significantDigits = 2
 )
 
-// Histogram collects times. Safe for concurrent use.
+// Histogram counts durations. Safe for concurrent use.
 type Histogram struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
 }
 
 // New returns an empty histogram.
-func New() *Histogram { return &Histogram{histogram: hdrhistogram.New(shortest, longest, digits)} }
+func New() *Histogram {
+	return &Histogram{histogram: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
+}
 
-// Observe adds a time.
+// Observe records a duration, clamped to the bounds.
 func (h *Histogram) Observe(took time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_ = h.histogram.RecordValue(min(longest, max(shortest, took.Microseconds())))
+	_ = h.histogram.RecordValue(min(maxMicros, max(minMicros, took.Microseconds())))
 }
 
-// Summary gives the count, quantiles and maximum since the start, microseconds.
+// Summary returns the count, quantiles and maximum since the start, in microseconds.
 func (h *Histogram) Summary() any {
 	h.mu.Lock()
 	defer h.mu.Unlock()
