--- a/internal/loadgen/loadgen.go
+++ b/internal/loadgen/loadgen.go
@@ -1,6 +1,7 @@
-// Package loadgen sends requests at a given rate, whatever the answers do, and
-// measures each from the moment it was due: a stall then counts for all that it
-// held up (no coordinated omission).
+// Package loadgen is an open-loop load generator: it sends requests at a given
+// rate, however fast the responses come, and measures each latency from the time
+// at which the request was due. A stall then counts for every request that it
+// delays (no coordinated omission).
 package loadgen
 
 import (
@@ -17,13 +18,13 @@
 	"cactuspath/internal/hop"
 )
 
-// Target is one way to the same service; requests take the targets in turn, so
-// that all see the same disturbances.
+// Target is one path to a service. Requests go to the targets in turn, so that
+// all targets are measured under the same disturbances.
 type Target struct {
 	Name, Address, Host, Path string
 }
 
-// Result sums up one target. Latencies are in microseconds.
+// Result summarizes the requests to one target. Latencies are in microseconds.
 type Result struct {
 	Name   string  `json:"name"`
 	Count  int64   `json:"count"`
@@ -36,10 +37,10 @@
 }
 
 const (
-	shortest      = 1
-	longest       = int64(time.Minute / time.Microsecond)
-	digits        = 3
-	answerTimeout = 20 * time.Second
+	minMicros         = 1
+	maxMicros         = int64(time.Minute / time.Microsecond)
+	significantDigits = 3
+	requestTimeout    = 20 * time.Second
 )
 
 type target struct {
@@ -51,12 +52,12 @@
 	latency *hdrhistogram.Histogram
 }
 
-// Run sends rate requests per second to each target for the duration, Poisson
-// arrivals with a fixed seed.
+// Run sends requests to each target for the duration, as Poisson arrivals at
+// rate requests per second and target, drawn from the seed.
 func Run(ctx context.Context, targets []Target, rate float64, duration time.Duration, seed uint64) []Result {
 	var list []*target
 	for _, t := range targets {
-		list = append(list, &target{Target: t, pool: hop.NewPool(t.Address, nil), latency: hdrhistogram.New(shortest, longest, digits)})
+		list = append(list, &target{Target: t, pool: hop.NewPool(t.Address, nil), latency: hdrhistogram.New(minMicros, maxMicros, significantDigits)})
 	}
 	random := rand.New(rand.NewPCG(seed, seed))
 	var wait sync.WaitGroup
@@ -79,7 +80,7 @@
 }
 
 func (t *target) send(ctx context.Context, due time.Time) {
-	resp, err := t.pool.Do(ctx, &hop.Outgoing{Method: http.MethodGet, URI: t.Path, Host: t.Host, Deadline: time.Now().Add(answerTimeout)})
+	resp, err := t.pool.Do(ctx, &hop.Outgoing{Method: http.MethodGet, URI: t.Path, Host: t.Host, Deadline: time.Now().Add(requestTimeout)})
 	if err == nil {
 		_, err = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
@@ -89,7 +90,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_ = t.latency.RecordValue(max(shortest, time.Since(due).Microseconds()))
+	_ = t.latency.RecordValue(max(minMicros, time.Since(due).Microseconds()))
 }
 
 func (t *target) result(took time.Duration) Result {
