--- a/internal/replay/node.go
+++ b/internal/replay/node.go
@@ -8,103 +8,108 @@
 	"cactuspath/core/retry"
 )
 
-// node is an endpoint: a gate and the backend server beside it.
+// node is an endpoint: a backend server and the gate in front of it.
 type node struct {
-	s           *simulation
+	sim         *simulation
 	index       int
 	host        string
 	gate        *gate.Gate
 	server      *server
 	incarnation uint64
 	requests    map[gate.Handle]*attempt
-	next        gate.Handle
+	lastHandle  gate.Handle
 	draining    bool
-	armed       time.Duration
+	// timerAt is when the gate's next timer fires, or 0 if none is set.
+	timerAt time.Duration
 
 	reportDelay  time.Duration
 	reportIdle   bool
 	reportFrozen bool
-	history      []stampedLoad
+	loadHistory  []loadSample
 	sequence     uint64
 	loseAnswers  float64
 }
 
-type stampedLoad struct {
+type loadSample struct {
 	at   time.Duration
 	load gate.Load
 }
 
-func (n *node) boot() {
+// startGate creates a new gate, as at the start of a node.
+func (n *node) startGate() {
 	n.incarnation++
-	n.gate = gate.New(n.host, n.config(), n.s.Now())
+	n.gate = gate.New(n.host, n.config(), n.sim.Now())
 	var siblings []gate.Sibling
-	for i := range n.s.trace.Header.Service.Servers {
-		siblings = append(siblings, gate.Sibling{Host: hostName(i), Distance: n.s.distance()})
+	for i := range n.sim.trace.Header.Service.Servers {
+		siblings = append(siblings, gate.Sibling{Host: hostName(i), Distance: n.sim.distance()})
 	}
 	n.gate.SetSiblings(siblings)
 	if n.draining {
-		n.gate.SetDraining(n.s.Now(), true)
+		n.gate.SetDraining(n.sim.Now(), true)
 	}
-	n.armed = 0
-	n.arm()
+	n.timerAt = 0
+	n.scheduleTimer()
 }
 
 func (n *node) config() gate.Config {
-	h := n.s.trace.Header.Service
-	c := gate.Config{Slots: h.Slots, Queue: h.Queue, SlowStart: h.SlowStart.Duration(), Siblings: n.s.variant.Siblings,
+	h := n.sim.trace.Header.Service
+	c := gate.Config{Slots: h.Slots, Queue: h.Queue, SlowStart: h.SlowStart.Duration(), Siblings: n.sim.variant.Siblings,
 		ReportsPerSecond: measure.GateShare(uint32(h.ReportsPerSecond), h.Servers), BytesPerSecond: measure.GateShare(uint32(h.BytesPerSecond), h.Servers)}
-	if n.s.variant.NoMeasureBudget {
+	if n.sim.variant.NoMeasureBudget {
 		c.ReportsPerSecond, c.BytesPerSecond = 1<<20, 1<<30
 	}
 	return c
 }
 
-func (n *node) underway() int {
+// inTransit counts the requests that callers have sent to the node and its gate does
+// not hold.
+func (n *node) inTransit() int {
 	total := 0
-	for _, c := range n.s.callers {
+	for _, c := range n.sim.callers {
 		total += c.pool.Get(n.host).Outstanding
 	}
 	return max(0, total-len(n.requests))
 }
 
-// receive is the arrival of an attempt at its gate.
+// receive passes an arriving attempt to the gate.
 func (n *node) receive(a *attempt) {
 	if a.incarnation != n.incarnation {
 		incarnation := n.incarnation
-		n.answer(a, func() { n.s.restarted(a, incarnation) })
+		n.respond(a, func() { n.sim.onRestarted(a, incarnation) })
 		return
 	}
-	n.next++
-	n.requests[n.next] = a
-	n.carryOut(n.gate.Arrive(n.s.Now(), gate.Request{Handle: n.next, ID: a.id, Caller: callerName(a.call.caller), Deadline: a.call.deadline,
+	n.lastHandle++
+	n.requests[n.lastHandle] = a
+	n.handleEvents(n.gate.Arrive(n.sim.Now(), gate.Request{Handle: n.lastHandle, ID: a.id, Caller: callerName(a.call.caller), Deadline: a.call.deadline,
 		Movable: a.call.retry.Movable() && len(a.call.tried) == 0}))
-	n.arm()
+	n.scheduleTimer()
 }
 
 func callerName(c *caller) string { return string(rune('A' + c.index)) }
 
-// arm lets the gate end what waits for too long.
-func (n *node) arm() {
+// scheduleTimer schedules the gate's next timer, which ends requests that have waited
+// for too long.
+func (n *node) scheduleTimer() {
 	at, ok := n.gate.NextTimer()
 	if !ok {
 		return
 	}
-	if n.armed != 0 && n.armed <= at && n.armed > n.s.Now() {
+	if n.timerAt != 0 && n.timerAt <= at && n.timerAt > n.sim.Now() {
 		return
 	}
 	g := n.gate
-	n.armed = at
-	n.s.At(at, func() {
-		if n.gate == g && n.armed == at {
-			n.armed = 0
-			n.carryOut(g.Tick(n.s.Now()))
-			n.arm()
+	n.timerAt = at
+	n.sim.At(at, func() {
+		if n.gate == g && n.timerAt == at {
+			n.timerAt = 0
+			n.handleEvents(g.Tick(n.sim.Now()))
+			n.scheduleTimer()
 		}
 	})
 }
 
-// carryOut does what the gate decided.
-func (n *node) carryOut(events []gate.Event) {
+// handleEvents carries out the decisions of the gate.
+func (n *node) handleEvents(events []gate.Event) {
 	for _, e := range events {
 		a := n.requests[e.Handle]
 		switch e.Kind {
@@ -112,56 +117,56 @@
 			n.execute(e.Handle, a)
 		case gate.Refused:
 			delete(n.requests, e.Handle)
-			n.refused(a, e)
+			n.handleRefusal(a, e)
 		case gate.Send:
-			n.post(e)
+			n.sendReport(e)
 		case gate.Moved:
 			delete(n.requests, e.Handle)
-			n.s.result.moves++
-			n.answer(a, func() { n.s.moved(a, e.To) })
+			n.sim.result.moves++
+			n.respond(a, func() { n.sim.onMoved(a, e.To) })
 		}
 	}
 }
 
-func (n *node) refused(a *attempt, e gate.Event) {
-	how := retry.NotRun
+func (n *node) handleRefusal(a *attempt, e gate.Event) {
+	ended := retry.NotRun
 	if e.Everywhere {
-		how = retry.NotRunAnywhere
+		ended = retry.NotRunAnywhere
 	}
 	if e.Reason == gate.Draining {
-		how = retry.Leaving
+		ended = retry.Leaving
 	}
-	n.answer(a, func() {
+	n.respond(a, func() {
 		if e.Reason == gate.Draining {
 			a.call.caller.pool.SetDraining(a.to)
 		}
-		n.s.ended(a, how)
+		n.sim.onRefused(a, ended)
 	})
 }
 
-// post sends a report to a sibling.
-func (n *node) post(e gate.Event) {
-	report := n.falsify(e.Report)
-	to := n.s.node(e.To)
-	n.s.result.report(n.s.Now())
-	n.s.After(n.s.distance(), func() { to.gate.Learn(n.s.Now(), report) })
+// sendReport sends a load report to a sibling.
+func (n *node) sendReport(e gate.Event) {
+	report := n.falsifyReport(e.Report)
+	to := n.sim.node(e.To)
+	n.sim.result.report(n.sim.Now())
+	n.sim.After(n.sim.distance(), func() { to.gate.Learn(n.sim.Now(), report) })
 }
 
 func (n *node) execute(h gate.Handle, a *attempt) {
-	a.call.runs++
+	a.call.executions++
 	incarnation := n.incarnation
 	a.job = n.server.start(a.call.arrival.Demand.Duration(), func(outcome jobOutcome) {
 		if n.incarnation != incarnation {
 			return
 		}
 		delete(n.requests, h)
-		n.carryOut(n.gate.Finish(n.s.Now(), h, gateOutcome(outcome)))
-		n.arm()
-		if n.s.random.Float64() < n.loseAnswers {
-			n.s.After(n.s.distance(), func() { n.s.lost(a) })
+		n.handleEvents(n.gate.Finish(n.sim.Now(), h, gateOutcome(outcome)))
+		n.scheduleTimer()
+		if n.sim.random.Float64() < n.loseAnswers {
+			n.sim.After(n.sim.distance(), func() { n.sim.onLost(a) })
 			return
 		}
-		n.answer(a, func() { n.s.answered(a, outcome) })
+		n.respond(a, func() { n.sim.onAnswer(a, outcome) })
 	})
 }
 
@@ -172,33 +177,33 @@
 	return gate.Failed
 }
 
-// answer sends an answer back.
-func (n *node) answer(a *attempt, deliver func()) {
-	load := n.gate.Load(n.s.Now())
+// respond sends a response to the caller, with a load report attached.
+func (n *node) respond(a *attempt, deliver func()) {
+	load := n.gate.Load(n.sim.Now())
 	n.sequence++
-	report := n.falsify(gate.Report{Host: n.host, Sequence: n.sequence, Load: load})
-	n.s.After(n.s.distance(), func() {
-		if n.s.variant.Reports {
-			a.call.caller.pool.Learn(n.s.Now(), report)
+	report := n.falsifyReport(gate.Report{Host: n.host, Sequence: n.sequence, Load: load})
+	n.sim.After(n.sim.distance(), func() {
+		if n.sim.variant.Reports {
+			a.call.caller.pool.Learn(n.sim.Now(), report)
 		}
 		deliver()
 	})
 }
 
-// falsify changes a report as the trace says: late, frozen, or idle while the
-// server is busy.
-func (n *node) falsify(r gate.Report) gate.Report {
+// falsifyReport applies the faults that the trace sets for load reports: delayed,
+// frozen, or idle while the server is busy.
+func (n *node) falsifyReport(r gate.Report) gate.Report {
 	r.Incarnation = n.incarnation
-	if n.reportFrozen && len(n.history) > 0 {
-		r.Load = n.history[0].load
+	if n.reportFrozen && len(n.loadHistory) > 0 {
+		r.Load = n.loadHistory[0].load
 		return r
 	}
-	n.history = append(n.history, stampedLoad{n.s.Now(), r.Load})
-	for len(n.history) > 1 && n.history[1].at <= n.s.Now()-n.reportDelay {
-		n.history = n.history[1:]
+	n.loadHistory = append(n.loadHistory, loadSample{n.sim.Now(), r.Load})
+	for len(n.loadHistory) > 1 && n.loadHistory[1].at <= n.sim.Now()-n.reportDelay {
+		n.loadHistory = n.loadHistory[1:]
 	}
 	if n.reportDelay > 0 {
-		r.Load = n.history[0].load
+		r.Load = n.loadHistory[0].load
 	}
 	if n.reportIdle {
 		r.Load.Running, r.Load.Waiting = 0, 0
@@ -206,7 +211,7 @@
 	return r
 }
 
-func (n *node) forgetRevoked(events []gate.Event) {
+func (n *node) removeRevoked(events []gate.Event) {
 	for _, e := range events {
 		if e.Kind == gate.Refused && e.Reason == gate.Revoked {
 			delete(n.requests, e.Handle)
@@ -214,17 +219,18 @@
 	}
 }
 
-// restart loses the gate and every connection; the backend server goes on.
+// restart restarts the node: the state of the gate and all connections are lost, and
+// the backend server keeps running.
 func (n *node) restart() {
 	lost := n.requests
 	n.requests = map[gate.Handle]*attempt{}
-	n.boot()
-	for h := gate.Handle(1); h <= n.next; h++ {
+	n.startGate()
+	for h := gate.Handle(1); h <= n.lastHandle; h++ {
 		if a := lost[h]; a != nil {
-			n.s.After(n.s.distance(), func() { n.s.lost(a) })
+			n.sim.After(n.sim.distance(), func() { n.sim.onLost(a) })
 		}
 	}
-	n.s.After(directoryDelay, n.s.updatePools)
+	n.sim.After(directoryDelay, n.sim.updatePools)
 }
 
 func hostName(i int) string { return "server-" + string(rune('a'+i/26)) + string(rune('a'+i%26)) }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -33,10 +33,10 @@
 	return results
 }
 
-// Every committed trace is replayed and must meet what it states: nothing lost,
-// nothing run twice, every "not run" true, the measuring budget kept in every
-// window of a second, and the latencies named in its header.
-func TestTracesMeetTheirStatedOutcomes(t *testing.T) {
+// Replays every committed trace and checks the expectations in its header: no request
+// lost or run twice, every "not run" true, the budget for load reports kept in every
+// window of one second, and bounds on latencies.
+func TestTracesMeetTheirExpectations(t *testing.T) {
 	files, err := filepath.Glob("../../traces/*.jsonl")
 	assert.NilError(t, err)
 	assert.Assert(t, len(files) > 20)
@@ -53,12 +53,12 @@
 	}
 }
 
-// The same trace and seed must give the same bytes, or a miss could not be
-// looked into.
+// The same trace and seed must give the same bytes, or a missed expectation could not
+// be reproduced.
 func TestReplayIsDeterministic(t *testing.T) {
 	render := func() string {
 		trace := readTrace(t, "../../traces/everything.jsonl")
-		variant, err := Find(Chosen)
+		variant, err := Find(ProductionVariant)
 		assert.NilError(t, err)
 		text, err := json.Marshal(Run(trace, variant, seed))
 		assert.NilError(t, err)
@@ -67,9 +67,9 @@
 	assert.Equal(t, render(), render())
 }
 
-// With the budget off, the same swinging load costs more reports than the
-// institution agreed to: what keeps the other traces within it is the budget.
-func TestBudgetOffExceedsIt(t *testing.T) {
+// Without the report budget, a fluctuating load causes more reports than the budget
+// allows. This shows that it is the budget that keeps the other traces within it.
+func TestReportsExceedBudgetWhenItIsOff(t *testing.T) {
 	trace := readTrace(t, "../../traces/alder-finch-flicker-300.jsonl")
 	variant, err := Find("cactus-no-measure-budget")
 	assert.NilError(t, err)
@@ -77,19 +77,19 @@
 	assert.Assert(t, r.WorstReports > trace.Header.Service.ReportsPerSecond, "%d reports in the worst second", r.WorstReports)
 }
 
-// What the gates know of each other must not depend on how many callers share
-// the traffic.
-func TestManyCallersAreAsWellOffAsFew(t *testing.T) {
-	variant, err := Find(Chosen)
+// Guards against gates whose knowledge of each other depends on the number of callers:
+// the same traffic must not be slower when more callers share it.
+func TestLatencyDoesNotGrowWithCallers(t *testing.T) {
+	variant, err := Find(ProductionVariant)
 	assert.NilError(t, err)
-	for _, who := range []string{"sao-khue", "alder-finch"} {
-		few := Run(readTrace(t, "../../traces/"+who+"-shift-6.jsonl"), variant, seed)
-		many := Run(readTrace(t, "../../traces/"+who+"-shift-300.jsonl"), variant, seed)
-		assert.Assert(t, many.P99 <= 1.2*few.P99, "%s: %.1f ms at 300 callers, %.1f at 6", who, many.P99, few.P99)
+	for _, site := range []string{"sao-khue", "alder-finch"} {
+		few := Run(readTrace(t, "../../traces/"+site+"-shift-6.jsonl"), variant, seed)
+		many := Run(readTrace(t, "../../traces/"+site+"-shift-300.jsonl"), variant, seed)
+		assert.Assert(t, many.P99 <= 1.2*few.P99, "%s: %.1f ms at 300 callers, %.1f at 6", site, many.P99, few.P99)
 	}
 }
 
-func TestReadNamesTheFault(t *testing.T) {
+func TestReadReportsInvalidTraces(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"", "callers, service.servers"},
 		{"{}", "line 1: the first line must be the trace's header"},
--- a/internal/replay/result.go
+++ b/internal/replay/result.go
@@ -10,110 +10,112 @@
 	"cactuspath/core/gate"
 )
 
-type finalKind int
+type callOutcome int
 
 const (
-	finalAnswered finalKind = iota
-	finalFailed
-	finalNotRun
-	finalUnknown
+	callAnswered callOutcome = iota
+	callFailed
+	callNotRun
+	callUnknown
 )
 
-// Result sums up one run.
+// Result summarizes one run.
 type Result struct {
-	Policy   string  `json:"policy"`
-	Arrived  int     `json:"arrived"`
-	Answered int     `json:"answered"`
-	Failed   int     `json:"failed"`
-	NotRun   int     `json:"notRun"`
-	Unknown  int     `json:"unknown"`
-	Lost     int     `json:"lost"`
-	RunTwice int     `json:"runTwice"`
-	FalseNot int     `json:"falseNotRun"`
-	P50      float64 `json:"p50Ms"`
-	P99      float64 `json:"p99Ms"`
-	P999     float64 `json:"p999Ms"`
-	Max      float64 `json:"maxMs"`
-	// RefusedP99 is how long a refusal took.
+	Policy      string  `json:"policy"`
+	Arrived     int     `json:"arrived"`
+	Answered    int     `json:"answered"`
+	Failed      int     `json:"failed"`
+	NotRun      int     `json:"notRun"`
+	Unknown     int     `json:"unknown"`
+	Lost        int     `json:"lost"`
+	RunTwice    int     `json:"runTwice"`
+	FalseNotRun int     `json:"falseNotRun"`
+	P50         float64 `json:"p50Ms"`
+	P99         float64 `json:"p99Ms"`
+	P999        float64 `json:"p999Ms"`
+	Max         float64 `json:"maxMs"`
+	// RefusedP99 is the p99 of the time until a call ended as not run.
 	RefusedP99 float64 `json:"refusedP99Ms"`
-	// GoodputShare is answered work in time over arrived.
+	// GoodputShare is the share of the arrived calls that were answered.
 	GoodputShare float64 `json:"goodputShare"`
 	Attempts     float64 `json:"attemptsPerCall"`
 	Moves        float64 `json:"movesPerCall"`
 	Reports      float64 `json:"reportsPerCall"`
-	// WorstReports and WorstBytes are the most in any one-second window.
+	// WorstReports and WorstBytes are the maxima over all windows of one second.
 	WorstReports int `json:"worstWindowReports"`
 	WorstBytes   int `json:"worstWindowBytes"`
-	// QuietP99 is the p99 of the last caller, for traces about fairness.
+	// QuietP99 is the p99 of the last caller, for traces that test fairness.
 	QuietP99 float64 `json:"quietP99Ms"`
-	// TailP99 is the p99 of calls that arrive in the last fifth, for recovery.
+	// TailP99 is the p99 of the calls that arrive in the last fifth of the trace, for
+	// traces that test recovery.
 	TailP99 float64 `json:"tailP99Ms"`
 }
 
-// collector gathers a run.
+// collector accumulates the results of a run.
 type collector struct {
 	Result
-	trace    *Trace
-	latency  *hdrhistogram.Histogram
-	refused  *hdrhistogram.Histogram
-	quiet    *hdrhistogram.Histogram
-	tail     *hdrhistogram.Histogram
-	attempts int
-	moves    int
-	reports  []time.Duration
-	calls    int
+	trace             *Trace
+	latency           *hdrhistogram.Histogram
+	refusalLatency    *hdrhistogram.Histogram
+	lastCallerLatency *hdrhistogram.Histogram
+	tailLatency       *hdrhistogram.Histogram
+	attempts          int
+	moves             int
+	reports           []time.Duration
+	// calls counts the calls that completed.
+	calls int
 }
 
-const longestLatency = int64(time.Hour / time.Microsecond)
+const maxLatencyMicros = int64(time.Hour / time.Microsecond)
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, longestLatency, 3) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicros, 3) }
 
 func newCollector(policy string, trace *Trace) *collector {
-	return &collector{Result: Result{Policy: policy}, trace: trace, latency: newHistogram(), refused: newHistogram(), quiet: newHistogram(), tail: newHistogram()}
+	return &collector{Result: Result{Policy: policy}, trace: trace, latency: newHistogram(), refusalLatency: newHistogram(), lastCallerLatency: newHistogram(), tailLatency: newHistogram()}
 }
 
 func (c *collector) arrived(time.Duration) { c.Arrived++ }
 
 func (c *collector) report(at time.Duration) { c.reports = append(c.reports, at) }
 
-func (s *simulation) final(k *call, kind finalKind) {
-	k.finals++
-	c := s.result
-	if k.finals > 1 {
+func (sim *simulation) complete(k *call, outcome callOutcome) {
+	k.completions++
+	c := sim.result
+	if k.completions > 1 {
 		c.RunTwice++
 		return
 	}
-	took := s.Now() - k.arrival.At.Duration()
+	took := sim.Now() - k.arrival.At.Duration()
 	c.calls++
-	switch kind {
-	case finalAnswered:
+	switch outcome {
+	case callAnswered:
 		c.Answered++
-		c.record(k, took)
-	case finalFailed:
+		c.recordLatency(k, took)
+	case callFailed:
 		c.Failed++
-		c.record(k, took)
-	case finalNotRun:
+		c.recordLatency(k, took)
+	case callNotRun:
 		c.NotRun++
-		_ = c.refused.RecordValue(took.Microseconds())
-		if k.runs > 0 {
-			c.FalseNot++
+		_ = c.refusalLatency.RecordValue(took.Microseconds())
+		if k.executions > 0 {
+			c.FalseNotRun++
 		}
-	case finalUnknown:
+	case callUnknown:
 		c.Unknown++
 	}
-	if k.runs > 1 && !k.arrival.Idempotent {
+	if k.executions > 1 && !k.arrival.Idempotent {
 		c.RunTwice++
 	}
 }
 
-func (c *collector) record(k *call, took time.Duration) {
-	us := took.Microseconds()
-	_ = c.latency.RecordValue(us)
+func (c *collector) recordLatency(k *call, took time.Duration) {
+	micros := took.Microseconds()
+	_ = c.latency.RecordValue(micros)
 	if k.arrival.Caller == c.trace.Header.Callers-1 {
-		_ = c.quiet.RecordValue(us)
+		_ = c.lastCallerLatency.RecordValue(micros)
 	}
 	if k.arrival.At > c.trace.Header.Duration*4/5 {
-		_ = c.tail.RecordValue(us)
+		_ = c.tailLatency.RecordValue(micros)
 	}
 }
 
@@ -123,21 +125,21 @@
 		return float64(h.ValueAtQuantile(q)) / 1000
 	}
 	r.P50, r.P99, r.P999, r.Max = ms(c.latency, 50), ms(c.latency, 99), ms(c.latency, 99.9), float64(c.latency.Max())/1000
-	r.RefusedP99, r.QuietP99, r.TailP99 = ms(c.refused, 99), ms(c.quiet, 99), ms(c.tail, 99)
+	r.RefusedP99, r.QuietP99, r.TailP99 = ms(c.refusalLatency, 99), ms(c.lastCallerLatency, 99), ms(c.tailLatency, 99)
 	r.Lost = r.Arrived - c.calls
 	calls := float64(max(1, r.Arrived))
 	r.GoodputShare = float64(r.Answered) / calls
 	r.Attempts, r.Moves, r.Reports = float64(c.attempts)/calls, float64(c.moves)/calls, float64(len(c.reports))/calls
-	r.WorstReports = worstWindow(c.reports)
+	r.WorstReports = maxPerSecond(c.reports)
 	r.WorstBytes = r.WorstReports * reportBytes
 	return r
 }
 
-// reportBytes is what one report takes on the wire, as the gates count it.
+// reportBytes is the size of a report on the wire, as the gates account for it.
 const reportBytes = gate.ReportBytes
 
-// worstWindow is the most events in any span of one second.
-func worstWindow(at []time.Duration) int {
+// maxPerSecond returns the largest number of events in any window of one second.
+func maxPerSecond(at []time.Duration) int {
 	worst, first := 0, 0
 	for i := range at {
 		for at[i]-at[first] >= time.Second {
@@ -148,11 +150,11 @@
 	return worst
 }
 
-// metrics gives every number by the name that Expect uses.
+// metrics returns every figure under the name that an Expect uses.
 func (r *Result) metrics() map[string]float64 {
 	return map[string]float64{
 		"answered": float64(r.Answered), "failed": float64(r.Failed), "notRun": float64(r.NotRun), "unknown": float64(r.Unknown),
-		"lost": float64(r.Lost), "runTwice": float64(r.RunTwice), "falseNotRun": float64(r.FalseNot),
+		"lost": float64(r.Lost), "runTwice": float64(r.RunTwice), "falseNotRun": float64(r.FalseNotRun),
 		"p50": r.P50, "p99": r.P99, "p999": r.P999, "max": r.Max, "refusedP99": r.RefusedP99, "quietP99": r.QuietP99, "tailP99": r.TailP99,
 		"goodputShare": r.GoodputShare, "attempts": r.Attempts, "moves": r.Moves, "reports": r.Reports,
 		"worstReports": float64(r.WorstReports), "worstBytes": float64(r.WorstBytes),
@@ -160,13 +162,13 @@
 	}
 }
 
-// Miss is a stated outcome that the run did not meet.
+// Miss is an expectation that the run did not meet.
 type Miss struct {
 	Expect Expect
 	Got    float64
 }
 
-// String tells what was missed.
+// String describes the expectation and the value measured.
 func (m Miss) String() string {
 	what := fmt.Sprintf("%s of %s", m.Expect.Metric, m.Expect.Policy)
 	if m.Expect.RatioTo != "" {
@@ -178,8 +180,8 @@
 	return fmt.Sprintf("%s is %.3f, less than the %.3f stated", what, m.Got, *m.Expect.Min)
 }
 
-// Check holds results against the trace's stated outcomes. An outcome whose
-// policies were not run is left out, and counted.
+// Check compares results with the trace's expectations. It skips and counts the
+// expectations whose policies were not run.
 func Check(trace *Trace, results []*Result) (misses []Miss, unchecked int) {
 	byName := map[string]*Result{}
 	for _, r := range results {
@@ -203,9 +205,10 @@
 	return misses, unchecked
 }
 
-// PoliciesNeeded lists the policies that a trace's stated outcomes speak of.
+// PoliciesNeeded lists the policies that a trace's expectations refer to, and the one
+// that the nodes run.
 func PoliciesNeeded(trace *Trace) []string {
-	seen := map[string]bool{Chosen: true}
+	seen := map[string]bool{ProductionVariant: true}
 	for _, e := range trace.Header.Expect {
 		seen[e.Policy] = true
 		if e.RatioTo != "" {
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -11,7 +11,7 @@
 	"cactuspath/internal/virtual"
 )
 
-// simulation replays one trace with one variant.
+// simulation is the replay of one trace with one variant.
 type simulation struct {
 	virtual.Clock
 	trace   *Trace
@@ -29,20 +29,20 @@
 	budget *retry.Budget
 }
 
-// call is one request from its arrival to its final answer.
+// call is one request from its arrival to its final outcome.
 type call struct {
-	arrival  Arrival
-	caller   *caller
-	id       [2]uint64
-	deadline time.Duration
-	retry    retry.Request
-	attempts uint32
-	tried    []string
-	runs     int
-	finals   int
+	arrival     Arrival
+	caller      *caller
+	id          [2]uint64
+	deadline    time.Duration
+	retry       retry.Request
+	attempts    uint32
+	tried       []string
+	executions  int
+	completions int
 }
 
-// attempt is one try of a call at one endpoint.
+// attempt is one attempt of a call at one endpoint.
 type attempt struct {
 	call        *call
 	id          gate.AttemptID
@@ -54,89 +54,90 @@
 	settled     bool
 }
 
-// settleTime is how long after the last arrival a call may still end; one that
-// has not by then is lost.
-const settleTime = time.Minute
+// completionGrace is how long after the end of the trace a call may still complete. A
+// call that has not completed by then counts as lost.
+const completionGrace = time.Minute
 
 // Run replays the trace with a variant.
 func Run(trace *Trace, variant Variant, seed uint64) *Result {
-	s := &simulation{trace: trace, variant: variant, random: rand.New(rand.NewPCG(seed, 99)), result: newCollector(variant.Name, trace)}
-	s.build()
+	sim := &simulation{trace: trace, variant: variant, random: rand.New(rand.NewPCG(seed, 99)), result: newCollector(variant.Name, trace)}
+	sim.build()
 	for _, a := range trace.Arrivals {
-		s.At(a.At.Duration(), func() { s.arrive(a) })
+		sim.At(a.At.Duration(), func() { sim.arrive(a) })
 	}
-	for _, e := range trace.Servers {
-		s.At(e.At.Duration(), func() { s.change(e) })
+	for _, e := range trace.ServerChanges {
+		sim.At(e.At.Duration(), func() { sim.applyChange(e) })
 	}
-	last := trace.Header.Duration.Duration() + settleTime
-	s.RunUntil(func() bool { return s.Now() > last || s.result.calls == len(trace.Arrivals) })
-	return s.result.finish()
+	last := trace.Header.Duration.Duration() + completionGrace
+	sim.RunUntil(func() bool { return sim.Now() > last || sim.result.calls == len(trace.Arrivals) })
+	return sim.result.finish()
 }
 
-func (s *simulation) build() {
-	h := s.trace.Header
+func (sim *simulation) build() {
+	h := sim.trace.Header
 	for i := range h.Service.Servers {
-		n := &node{s: s, index: i, host: hostName(i), server: newServer(&s.Clock), requests: map[gate.Handle]*attempt{}}
-		s.nodes = append(s.nodes, n)
-		n.boot()
+		n := &node{sim: sim, index: i, host: hostName(i), server: newServer(&sim.Clock), requests: map[gate.Handle]*attempt{}}
+		sim.nodes = append(sim.nodes, n)
+		n.startGate()
 	}
 	for i := range h.Callers {
-		source := rand.New(rand.NewPCG(s.random.Uint64(), uint64(i)))
+		source := rand.New(rand.NewPCG(sim.random.Uint64(), uint64(i)))
 		perMille := h.Service.RetryPerMille
-		if s.variant.NoRetryBudget {
+		if sim.variant.NoRetryBudget {
 			perMille = 1_000_000
 		}
-		c := &caller{index: i, pool: balancer.NewPool(s.variant.Build(source)), budget: retry.NewBudget(perMille)}
-		s.callers = append(s.callers, c)
+		c := &caller{index: i, pool: balancer.NewPool(sim.variant.Build(source)), budget: retry.NewBudget(perMille)}
+		sim.callers = append(sim.callers, c)
 	}
-	s.updatePools()
+	sim.updatePools()
 }
 
-func (s *simulation) distance() time.Duration { return s.trace.Header.Distance.Duration() }
+func (sim *simulation) distance() time.Duration { return sim.trace.Header.Distance.Duration() }
 
-// updatePools tells every caller who is there, as the directory would.
-func (s *simulation) updatePools() {
+// updatePools gives every caller the current list of endpoints, as the directory does.
+func (sim *simulation) updatePools() {
 	var list []balancer.Candidate
-	for _, n := range s.nodes {
-		list = append(list, balancer.Candidate{Host: n.host, Incarnation: n.incarnation, Slots: s.trace.Header.Service.Slots,
-			Distance: s.distance(), Draining: n.draining})
+	for _, n := range sim.nodes {
+		list = append(list, balancer.Candidate{Host: n.host, Incarnation: n.incarnation, Slots: sim.trace.Header.Service.Slots,
+			Distance: sim.distance(), Draining: n.draining})
 	}
-	for _, c := range s.callers {
+	for _, c := range sim.callers {
 		c.pool.Update(list)
 	}
 }
 
-func (s *simulation) arrive(a Arrival) {
-	s.request++
-	c := s.callers[a.Caller]
+func (sim *simulation) arrive(a Arrival) {
+	sim.request++
+	c := sim.callers[a.Caller]
 	c.budget.Call()
-	k := &call{arrival: a, caller: c, id: [2]uint64{uint64(a.Caller), s.request}, deadline: s.Now() + a.Deadline.Duration(),
-		retry: retry.Request{Idempotent: a.Idempotent, MaxAttempts: max(1, s.trace.Header.Service.MaxAttempts)}}
-	s.result.arrived(s.Now())
-	s.try(k, nil)
+	k := &call{arrival: a, caller: c, id: [2]uint64{uint64(a.Caller), sim.request}, deadline: sim.Now() + a.Deadline.Duration(),
+		retry: retry.Request{Idempotent: a.Idempotent, MaxAttempts: max(1, sim.trace.Header.Service.MaxAttempts)}}
+	sim.result.arrived(sim.Now())
+	sim.sendAttempt(k, nil)
 }
 
-// try sends a call to the named candidate, or to one that the policy picks.
-func (s *simulation) try(k *call, named *balancer.Candidate) {
-	to := named
+// sendAttempt sends an attempt to the target or, if it is nil, to a candidate that the
+// policy picks.
+func (sim *simulation) sendAttempt(k *call, target *balancer.Candidate) {
+	to := target
 	if to == nil {
-		to = s.pick(k)
+		to = sim.pick(k)
 	} else {
 		k.caller.pool.Start(to)
 	}
 	if to == nil {
-		s.follow(k, k.retry.GiveUp(), nil)
+		sim.perform(k, k.retry.GiveUp(), nil)
 		return
 	}
 	k.attempts++
-	s.result.attempts++
-	n := s.node(to.Host)
-	a := &attempt{call: k, id: gate.AttemptID{Request: k.id, Attempt: k.attempts}, to: to, node: n, sent: s.Now(), incarnation: to.Incarnation}
-	s.After(s.distance(), func() { n.receive(a) })
+	sim.result.attempts++
+	n := sim.node(to.Host)
+	a := &attempt{call: k, id: gate.AttemptID{Request: k.id, Attempt: k.attempts}, to: to, node: n, sent: sim.Now(), incarnation: to.Incarnation}
+	sim.After(sim.distance(), func() { n.receive(a) })
 }
 
-func (s *simulation) node(host string) *node {
-	for _, n := range s.nodes {
+func (sim *simulation) node(host string) *node {
+	for _, n := range sim.nodes {
 		if n.host == host {
 			return n
 		}
@@ -144,11 +145,11 @@
 	return nil
 }
 
-func (s *simulation) pick(k *call) *balancer.Candidate {
-	if !s.variant.Omniscient {
-		return k.caller.pool.Pick(s.Now(), k.tried)
+func (sim *simulation) pick(k *call) *balancer.Candidate {
+	if !sim.variant.Omniscient {
+		return k.caller.pool.Pick(sim.Now(), k.tried)
 	}
-	best := s.bestServer(k)
+	best := sim.bestServer(k)
 	if best == nil {
 		return nil
 	}
@@ -157,128 +158,131 @@
 	return to
 }
 
-// bestServer knows every server's speed, queue and the requests on their way.
-func (s *simulation) bestServer(k *call) *node {
+// bestServer returns the node that would finish the call first. It uses state that no
+// caller has: every server's speed, its queue, and the requests in transit to it.
+func (sim *simulation) bestServer(k *call) *node {
 	var best *node
 	var soonest float64
-	for _, n := range s.nodes {
+	for _, n := range sim.nodes {
 		if n.draining || n.server.failFast || slices.Contains(k.tried, n.host) {
 			continue
 		}
-		ahead := float64(n.underway() + len(n.requests))
-		slots := float64(s.trace.Header.Service.Slots)
+		outstanding := float64(n.inTransit() + len(n.requests))
+		slots := float64(sim.trace.Header.Service.Slots)
 		speed := max(n.server.speed, 1e-6)
-		f := float64(k.arrival.Demand) / speed
-		if ahead >= slots {
-			f += (ahead - slots + 1) / slots * 5000 / speed
+		expected := float64(k.arrival.Demand) / speed
+		if outstanding >= slots {
+			expected += (outstanding - slots + 1) / slots * 5000 / speed
 		}
-		if best == nil || f < soonest {
-			best, soonest = n, f
+		if best == nil || expected < soonest {
+			best, soonest = n, expected
 		}
 	}
 	return best
 }
 
-// answered is the end of a call: the backend server's own answer.
-func (s *simulation) answered(a *attempt, outcome jobOutcome) {
+// onAnswer handles the backend server's response to an attempt.
+func (sim *simulation) onAnswer(a *attempt, outcome jobOutcome) {
 	if a.settled {
 		return
 	}
-	s.settle(a, true)
+	sim.settle(a, true)
 	switch outcome {
 	case jobCompleted:
-		s.final(a.call, finalAnswered)
+		sim.complete(a.call, callAnswered)
 	case jobFailed:
-		s.final(a.call, finalFailed)
+		sim.complete(a.call, callFailed)
 	case jobKilled:
-		// The node saw its backend server die with the request in it: it may
-		// have run, and the node says so.
-		s.next(a, retry.Lost, nil)
+		// The node saw its backend server end while it held the request. The
+		// request may have run, and the node reports it so.
+		sim.applyRetryRules(a, retry.Lost, nil)
 	}
 }
 
-func (s *simulation) settle(a *attempt, reached bool) {
+func (sim *simulation) settle(a *attempt, reached bool) {
 	a.settled = true
-	a.call.caller.pool.Done(s.Now(), a.to, reached)
+	a.call.caller.pool.Done(sim.Now(), a.to, reached)
 }
 
-func (s *simulation) ended(a *attempt, how retry.Ended) {
+// onRefused handles a refusal by the gate.
+func (sim *simulation) onRefused(a *attempt, ended retry.Ended) {
 	if a.settled {
 		return
 	}
-	s.settle(a, true)
-	s.next(a, how, a.to)
+	sim.settle(a, true)
+	sim.applyRetryRules(a, ended, a.to)
 }
 
-// moved sends the call to the sibling that the gate named.
-func (s *simulation) moved(a *attempt, host string) {
+// onMoved sends the call on to the sibling that the gate named.
+func (sim *simulation) onMoved(a *attempt, host string) {
 	if a.settled {
 		return
 	}
-	s.settle(a, true)
-	s.next(a, retry.Moved, a.call.caller.pool.Get(host))
+	sim.settle(a, true)
+	sim.applyRetryRules(a, retry.Moved, a.call.caller.pool.Get(host))
 }
 
-// restarted is the answer of a node that lost its gate since the caller heard
-// of it.
-func (s *simulation) restarted(a *attempt, incarnation uint64) {
+// onRestarted handles the response of a node that has restarted, and so lost the state
+// of its gate, since the caller learned its incarnation.
+func (sim *simulation) onRestarted(a *attempt, incarnation uint64) {
 	if a.settled {
 		return
 	}
 	a.call.caller.pool.SetIncarnation(a.to, incarnation)
-	s.settle(a, true)
-	s.next(a, retry.Restarted, a.to)
+	sim.settle(a, true)
+	sim.applyRetryRules(a, retry.Restarted, a.to)
 }
 
-// next asks the retry rules what follows.
-func (s *simulation) next(a *attempt, how retry.Ended, named *balancer.Candidate) {
+// applyRetryRules decides what follows an attempt that ended without an answer.
+func (sim *simulation) applyRetryRules(a *attempt, ended retry.Ended, target *balancer.Candidate) {
 	k := a.call
-	if how != retry.Moved && how != retry.Restarted {
+	if ended != retry.Moved && ended != retry.Restarted {
 		k.tried = append(k.tried, a.to.Host)
 	}
-	s.follow(k, k.retry.Next(how, k.caller.budget, k.caller.pool.Others(k.tried)), named)
+	sim.perform(k, k.retry.Next(ended, k.caller.budget, k.caller.pool.Others(k.tried)), target)
 }
 
-func (s *simulation) follow(k *call, action retry.Action, named *balancer.Candidate) {
+func (sim *simulation) perform(k *call, action retry.Action, target *balancer.Candidate) {
 	switch action {
 	case retry.TryNamed:
-		s.try(k, named)
+		sim.sendAttempt(k, target)
 	case retry.TryOther:
-		s.try(k, nil)
+		sim.sendAttempt(k, nil)
 	case retry.GiveUpUnknown:
-		s.final(k, finalUnknown)
+		sim.complete(k, callUnknown)
 	default:
-		s.final(k, finalNotRun)
+		sim.complete(k, callNotRun)
 	}
 }
 
-// lost is a broken connection: the caller asks the gate what became of it.
-func (s *simulation) lost(a *attempt) {
+// onLost handles a broken connection: the caller revokes the attempt at its gate, whose
+// answer tells whether it ran.
+func (sim *simulation) onLost(a *attempt) {
 	if a.settled {
 		return
 	}
-	s.settle(a, false)
+	sim.settle(a, false)
 	n := a.node
-	s.After(s.distance(), func() {
+	sim.After(sim.distance(), func() {
 		answer := gate.RevokeUnknown
 		if n.incarnation == a.incarnation {
 			var events []gate.Event
-			answer, events = n.gate.Revoke(s.Now(), a.id, s.Now()-a.sent)
-			n.forgetRevoked(events)
+			answer, events = n.gate.Revoke(sim.Now(), a.id, sim.Now()-a.sent)
+			n.removeRevoked(events)
 		}
-		s.After(s.distance(), func() {
-			how := retry.Lost
+		sim.After(sim.distance(), func() {
+			ended := retry.Lost
 			if answer == gate.RevokeNeverStarted {
-				how = retry.NotRun
+				ended = retry.NotRun
 			}
-			s.next(a, how, nil)
+			sim.applyRetryRules(a, ended, nil)
 		})
 	})
 }
 
-// change carries out a line about a server.
-func (s *simulation) change(e Server) {
-	n := s.nodes[e.Server]
+// applyChange applies a change in a backend server's behaviour.
+func (sim *simulation) applyChange(e ServerChange) {
+	n := sim.nodes[e.Server]
 	if e.Speed != nil {
 		n.server.setSpeed(*e.Speed)
 	}
@@ -298,12 +302,12 @@
 		n.loseAnswers = *e.LoseAnswers
 	}
 	if e.Cold {
-		n.gate.SetCold(s.Now(), 0)
+		n.gate.SetCold(sim.Now(), 0)
 	}
 	if e.Draining != nil {
 		n.draining = *e.Draining
-		n.carryOut(n.gate.SetDraining(s.Now(), n.draining))
-		s.After(directoryDelay, s.updatePools)
+		n.handleEvents(n.gate.SetDraining(sim.Now(), n.draining))
+		sim.After(directoryDelay, sim.updatePools)
 	}
 	if e.Kill {
 		n.server.kill()
@@ -313,5 +317,5 @@
 	}
 }
 
-// directoryDelay is how long the directory takes to tell everybody.
+// directoryDelay is how long the directory takes to propagate a change to all callers.
 const directoryDelay = 2 * time.Second
--- a/internal/replay/trace.go
+++ b/internal/replay/trace.go
@@ -1,7 +1,7 @@
-// Package replay runs a recorded trace of one service and its callers through
-// the very decision code that runs in the nodes (core/balancer, core/gate,
-// core/retry, core/measure), in virtual time, and holds the outcome against
-// what the trace states. The same trace and seed give the same bytes.
+// Package replay simulates a recorded trace of one service and its callers in
+// virtual time, with the same decision code that runs in the nodes
+// (core/balancer, core/gate, core/retry, core/measure), and compares the results
+// with the expectations in the trace. The same trace and seed give the same bytes.
 //
 // docs/traces.md describes the format.
 package replay
@@ -18,10 +18,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Micros is a time in a trace: microseconds since its start.
+// Micros is a time or a duration in a trace, in microseconds; times count from the start
+// of the trace.
 type Micros int64
 
-// Duration converts to a duration.
+// Duration converts m to a time.Duration.
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
 // Header is the first line of a trace.
@@ -31,12 +32,12 @@
 	Callers int     `json:"callers"`
 	// Distance is the one-way delay between any two hosts.
 	Distance Micros `json:"distance"`
-	// Duration is when the last arrival may come.
+	// Duration is the latest time of an arrival.
 	Duration Micros   `json:"duration"`
 	Expect   []Expect `json:"expect"`
 }
 
-// Service is what the estate says of the service, and its endpoints.
+// Service is the configuration of the service and the number of its backend servers.
 type Service struct {
 	Servers          int    `json:"servers"`
 	Slots            int    `json:"slots"`
@@ -48,8 +49,8 @@
 	SlowStart        Micros `json:"slowStart"`
 }
 
-// Expect is one stated outcome: a metric of a policy's run, at most Max (or at
-// least Min), in itself or as a ratio to another policy's in the same run.
+// Expect bounds a metric of a policy's run to at most Max or at least Min, either
+// the value itself or its ratio to the value of another policy on the same trace.
 type Expect struct {
 	Policy  string   `json:"policy"`
 	Metric  string   `json:"metric"`
@@ -62,55 +63,55 @@
 type Arrival struct {
 	At     Micros `json:"at"`
 	Caller int    `json:"caller"`
-	// Demand is the work at speed 1.
+	// Demand is the service time at speed 1.
 	Demand Micros `json:"demand"`
-	// Deadline counts from the arrival.
+	// Deadline is relative to the arrival.
 	Deadline   Micros `json:"deadline"`
 	Idempotent bool   `json:"idempotent,omitempty"`
 }
 
-// Server is one change in a backend server's behaviour. Fields that are nil
-// leave what was.
-type Server struct {
+// ServerChange is one change in a backend server's behaviour. Nil fields leave the
+// behaviour as it is.
+type ServerChange struct {
 	At     Micros   `json:"at"`
 	Server int      `json:"server"`
 	Speed  *float64 `json:"speed,omitempty"`
-	// FailFast makes it answer every request at once with a failure.
+	// FailFast makes the server fail every request immediately.
 	FailFast *bool `json:"failFast,omitempty"`
 	Draining *bool `json:"draining,omitempty"`
-	// Cold starts it cold: its gate ramps up.
+	// Cold marks the server as just started, so that its gate ramps up its load.
 	Cold bool `json:"cold,omitempty"`
-	// Kill ends the work in flight; it answers again at once.
+	// Kill ends the requests in flight; the server accepts new ones immediately.
 	Kill bool `json:"kill,omitempty"`
-	// RestartNode loses the gate's state with all connections.
+	// RestartNode restarts the node; the gate's state and all connections are lost.
 	RestartNode bool `json:"restartNode,omitempty"`
-	// ReportDelay, ReportIdle and ReportFrozen falsify what its gate reports.
+	// ReportDelay, ReportIdle and ReportFrozen falsify the load reports of the gate.
 	ReportDelay  *Micros `json:"reportDelay,omitempty"`
 	ReportIdle   *bool   `json:"reportIdle,omitempty"`
 	ReportFrozen *bool   `json:"reportFrozen,omitempty"`
-	// LoseAnswers is the share of answers lost on the way, 0 to 1.
+	// LoseAnswers is the share of responses that are lost in transit, 0 to 1.
 	LoseAnswers *float64 `json:"loseAnswers,omitempty"`
 }
 
-// Load generates arrivals, so that a trace of a hundred thousand requests is
-// one line. Every draw comes from the seed.
+// Load generates arrivals, so that a trace of a hundred thousand requests fits on one
+// line. All random draws derive from the seed.
 type Load struct {
 	From Micros `json:"from"`
 	To   Micros `json:"to"`
-	// PerSecond is the rate over all callers, Poisson arrivals.
+	// PerSecond is the rate of the Poisson arrivals, over all callers.
 	PerSecond  float64 `json:"perSecond"`
 	MeanDemand Micros  `json:"meanDemand"`
 	Deadline   Micros  `json:"deadline"`
-	// IdempotentShare of the requests may run twice.
+	// IdempotentShare is the share of requests that may run twice.
 	IdempotentShare float64 `json:"idempotentShare"`
-	// Callers restricts the load to callers FirstCaller up to LastCaller.
+	// FirstCaller and LastCaller bound the callers that the load comes from, inclusively.
 	FirstCaller int `json:"firstCaller"`
 	LastCaller  int `json:"lastCaller"`
 }
 
-// Shifts generates changes of speed at every server: phases of a length drawn
-// between Shortest and Longest, slow with the given share.
-type Shifts struct {
+// SpeedShifts generates speed changes at every server: phases whose length is drawn
+// between Shortest and Longest, each of them slow with probability SlowShare.
+type SpeedShifts struct {
 	From      Micros  `json:"from"`
 	To        Micros  `json:"to"`
 	Shortest  Micros  `json:"shortest"`
@@ -119,26 +120,26 @@
 	SlowSpeed float64 `json:"slowSpeed"`
 }
 
-// Trace is a whole trace, in order of time.
+// Trace is a complete trace. Arrivals and server changes are sorted by time.
 type Trace struct {
-	Header   Header
-	Arrivals []Arrival
-	Servers  []Server
+	Header        Header
+	Arrivals      []Arrival
+	ServerChanges []ServerChange
 }
 
 type line struct {
-	Arrival *Arrival `json:"arrival"`
-	Server  *Server  `json:"server"`
-	Load    *Load    `json:"load"`
-	Shifts  *Shifts  `json:"shifts"`
+	Arrival      *Arrival      `json:"arrival"`
+	ServerChange *ServerChange `json:"server"`
+	Load         *Load         `json:"load"`
+	SpeedShifts  *SpeedShifts  `json:"shifts"`
 }
 
-const maxLine = 1 << 20
+const maxLineBytes = 1 << 20
 
-// Read reads a trace and expands its generators with the seed.
+// Read parses a trace, expands its generators with the seed, and validates it.
 func Read(in io.Reader, seed uint64) (*Trace, error) {
 	scanner := bufio.NewScanner(in)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	t := &Trace{}
 	for number := 1; scanner.Scan(); number++ {
 		text := scanner.Bytes()
@@ -160,19 +161,19 @@
 	if err := scanner.Err(); err != nil {
 		return nil, errors.Wrap(err, "read the trace")
 	}
-	return t, t.check()
+	return t, t.sortAndValidate()
 }
 
 func (t *Trace) expand(l line, random *rand.Rand) {
 	switch {
 	case l.Arrival != nil:
 		t.Arrivals = append(t.Arrivals, *l.Arrival)
-	case l.Server != nil:
-		t.Servers = append(t.Servers, *l.Server)
+	case l.ServerChange != nil:
+		t.ServerChanges = append(t.ServerChanges, *l.ServerChange)
 	case l.Load != nil:
 		t.generateLoad(*l.Load, random)
-	case l.Shifts != nil:
-		t.generateShifts(*l.Shifts, random)
+	case l.SpeedShifts != nil:
+		t.generateSpeedShifts(*l.SpeedShifts, random)
 	}
 }
 
@@ -197,7 +198,7 @@
 	}
 }
 
-func (t *Trace) generateShifts(s Shifts, random *rand.Rand) {
+func (t *Trace) generateSpeedShifts(s SpeedShifts, random *rand.Rand) {
 	for server := range t.Header.Service.Servers {
 		at := s.From
 		for at < s.To {
@@ -205,17 +206,18 @@
 			if random.Float64() < s.SlowShare {
 				speed = s.SlowSpeed
 			}
-			t.Servers = append(t.Servers, Server{At: at, Server: server, Speed: &speed})
+			t.ServerChanges = append(t.ServerChanges, ServerChange{At: at, Server: server, Speed: &speed})
 			at += s.Shortest + Micros(random.Float64()*float64(s.Longest-s.Shortest))
 		}
 		full := 1.0
-		t.Servers = append(t.Servers, Server{At: s.To, Server: server, Speed: &full})
+		t.ServerChanges = append(t.ServerChanges, ServerChange{At: s.To, Server: server, Speed: &full})
 	}
 }
 
-func (t *Trace) check() error {
+// sortAndValidate sorts arrivals and server changes by time and validates their indexes.
+func (t *Trace) sortAndValidate() error {
 	sort.SliceStable(t.Arrivals, func(i, j int) bool { return t.Arrivals[i].At < t.Arrivals[j].At })
-	sort.SliceStable(t.Servers, func(i, j int) bool { return t.Servers[i].At < t.Servers[j].At })
+	sort.SliceStable(t.ServerChanges, func(i, j int) bool { return t.ServerChanges[i].At < t.ServerChanges[j].At })
 	h := t.Header
 	if h.Callers < 1 || h.Service.Servers < 1 || h.Service.Slots < 1 {
 		return errors.New("the header needs callers, service.servers and service.slots of at least 1")
@@ -225,7 +227,7 @@
 			return errors.Newf("an arrival names caller %d; the header has %d callers, counted from 0", a.Caller, h.Callers)
 		}
 	}
-	for _, s := range t.Servers {
+	for _, s := range t.ServerChanges {
 		if s.Server < 0 || s.Server >= h.Service.Servers {
 			return errors.Newf("a line names server %d; the header has %d servers, counted from 0", s.Server, h.Service.Servers)
 		}
--- a/internal/replay/variants.go
+++ b/internal/replay/variants.go
@@ -13,25 +13,25 @@
 	"cactuspath/core/balancer/twochoices"
 )
 
-// Variant is one way to decide that a trace is replayed with.
+// Variant is a configuration of the decision code that a trace can be replayed with.
 type Variant struct {
 	Name string
-	// Build makes a caller's policy.
+	// Build returns the balancing policy of one caller.
 	Build func(*rand.Rand) balancer.Policy
-	// Siblings lets the gates act together.
+	// Siblings makes the gates exchange load reports and move requests to each other.
 	Siblings bool
-	// Reports lets answers tell the callers of load, outside any budget.
+	// Reports attaches load reports to responses; they count against no budget.
 	Reports bool
-	// Omniscient picks by the servers' true state.
+	// Omniscient picks servers by their actual state instead of the policy.
 	Omniscient bool
-	// NoRetryBudget lifts the limit on retries.
+	// NoRetryBudget removes the limit on retries.
 	NoRetryBudget bool
-	// NoMeasureBudget lifts the limit on measuring.
+	// NoMeasureBudget removes the limit on load reports.
 	NoMeasureBudget bool
 }
 
-// Chosen is the variant that the nodes run.
-const Chosen = "cactus"
+// ProductionVariant is the name of the variant that the nodes run.
+const ProductionVariant = "cactus"
 
 // Variants lists every variant by name.
 func Variants() []Variant {
@@ -43,7 +43,7 @@
 		{Name: "predicted", Build: predicted.New, Reports: true},
 		{Name: "unbudgeted-retries", Build: leastoutstanding.New, NoRetryBudget: true},
 		{Name: "omniscient", Build: random.New, Omniscient: true},
-		{Name: Chosen, Build: leastoutstanding.New, Siblings: true},
+		{Name: ProductionVariant, Build: leastoutstanding.New, Siblings: true},
 		{Name: "cactus-predicted", Build: predicted.New, Siblings: true, Reports: true},
 		{Name: "cactus-random", Build: random.New, Siblings: true},
 		{Name: "cactus-no-retry-budget", Build: leastoutstanding.New, Siblings: true, NoRetryBudget: true},
@@ -51,7 +51,7 @@
 	}
 }
 
-// Find returns the variant with the name.
+// Find returns the variant with the given name.
 func Find(name string) (Variant, error) {
 	for _, v := range Variants() {
 		if v.Name == name {
