--- a/internal/emulator/call.go
+++ b/internal/emulator/call.go
@@ -9,34 +9,35 @@
 	"cactuspath/core/retry"
 )
 
-// outcome is how a call ended for its caller.
-type outcome int
+// callOutcome is how a call ended for its caller.
+type callOutcome int
 
 const (
-	answered outcome = iota
-	failed
-	notRun
+	callAnswered callOutcome = iota
+	callFailed
+	callNotRun
 )
 
-// call is one request on its way to its final answer, as internal/proxy does it.
+// call is one request from its start to its final outcome. It follows the steps of
+// internal/proxy.
 type call struct {
-	s          *simulation
+	sim        *simulation
 	class      *Class
 	origin     *node
 	id         [2]uint64
 	deadline   time.Duration
-	rules      retry.Request
+	retryState retry.Request
 	attempts   uint32
 	tried      []string
-	live       []*attempt
+	active     []*attempt
 	hedged     bool
 	retryAfter time.Duration
-	runs       int
-	over       bool
-	end        func(outcome)
+	executions int
+	finished   bool
+	done       func(callOutcome)
 }
 
-// attempt is one try of a call at one endpoint.
+// attempt is one attempt of a call at one endpoint.
 type attempt struct {
 	call    *call
 	id      gate.AttemptID
@@ -49,182 +50,184 @@
 	movedTo string
 }
 
-// begin starts a call from a host.
-func (s *simulation) begin(origin *node, class *Class, deadline time.Duration, end func(outcome)) *call {
-	s.requests++
-	service := s.scenario.service(class.Service)
+// startCall starts a call from a host; done is called with its outcome.
+func (sim *simulation) startCall(origin *node, class *Class, deadline time.Duration, done func(callOutcome)) *call {
+	sim.requests++
+	service := sim.scenario.serviceIndex(class.Service)
 	origin.refillBudget(service)
 	origin.budgets[service].Call()
-	c := &call{s: s, class: class, origin: origin, id: [2]uint64{1, s.requests}, deadline: min(deadline, s.now()+class.Timeout.Duration()), end: end,
-		rules: retry.Request{Idempotent: class.Idempotent, MaxAttempts: max(1, class.MaxAttempts)}}
-	s.clock.At(c.deadline, c.timeOut)
-	c.try(c.pick())
+	c := &call{sim: sim, class: class, origin: origin, id: [2]uint64{1, sim.requests}, deadline: min(deadline, sim.now()+class.Timeout.Duration()), done: done,
+		retryState: retry.Request{Idempotent: class.Idempotent, MaxAttempts: max(1, class.MaxAttempts)}}
+	sim.clock.At(c.deadline, c.timeOut)
+	c.sendAttempt(c.pick())
 	return c
 }
 
-func (c *call) service() int { return c.s.scenario.service(c.class.Service) }
+func (c *call) serviceIndex() int { return c.sim.scenario.serviceIndex(c.class.Service) }
 
-func (c *call) pool() *balancer.Pool { return c.origin.pools[c.service()] }
+func (c *call) pool() *balancer.Pool { return c.origin.pools[c.serviceIndex()] }
 
 func (c *call) budget() *retry.Budget {
-	c.origin.refillBudget(c.service())
-	return c.origin.budgets[c.service()]
+	c.origin.refillBudget(c.serviceIndex())
+	return c.origin.budgets[c.serviceIndex()]
 }
 
 func (n *node) refillBudget(service int) {
-	now := n.s.now()
-	n.budgets[service].Refill(now - n.refill[service])
-	n.refill[service] = now
+	now := n.sim.now()
+	n.budgets[service].Refill(now - n.refilledAt[service])
+	n.refilledAt[service] = now
 }
 
 func (c *call) pick() *balancer.Candidate {
-	if c.s.variant.Omniscient {
-		return c.s.best(c)
+	if c.sim.variant.Omniscient {
+		return c.sim.bestServer(c)
 	}
-	return c.pool().Pick(c.s.now(), c.tried)
+	return c.pool().Pick(c.sim.now(), c.tried)
 }
 
-// try sends an attempt to a candidate that is counted as picked.
-func (c *call) try(to *balancer.Candidate) {
+// sendAttempt sends an attempt to a candidate, which the pool already counts as picked;
+// nil means that there is none.
+func (c *call) sendAttempt(to *balancer.Candidate) {
 	if to == nil {
-		c.giveUp(c.rules.GiveUp())
+		c.giveUp(c.retryState.GiveUp())
 		return
 	}
 	c.attempts++
-	c.s.result.attempts++
-	a := &attempt{call: c, id: gate.AttemptID{Request: c.id, Attempt: c.attempts}, to: to, node: c.s.byHost[to.Host]}
-	c.live = append(c.live, a)
-	c.s.between(c.origin, a.node, func() { a.node.receive(a) })
+	c.sim.result.attempts++
+	a := &attempt{call: c, id: gate.AttemptID{Request: c.id, Attempt: c.attempts}, to: to, node: c.sim.byHost[to.Host]}
+	c.active = append(c.active, a)
+	c.sim.deliver(c.origin, a.node, func() { a.node.receive(a) })
 }
 
-// settle ends an attempt once; it tells whether it was the first to do so.
+// settle ends an attempt. It reports whether this was the first time, and the call is
+// still waiting for an outcome.
 func (a *attempt) settle() bool {
 	if a.settled {
 		return false
 	}
 	a.settled = true
 	c := a.call
-	c.pool().Done(c.s.now(), a.to, true)
-	c.live = slices.DeleteFunc(c.live, func(other *attempt) bool { return other == a })
-	return !c.over
+	c.pool().Done(c.sim.now(), a.to, true)
+	c.active = slices.DeleteFunc(c.active, func(other *attempt) bool { return other == a })
+	return !c.finished
 }
 
-func (a *attempt) answered(ok bool) {
+func (a *attempt) onAnswer(ok bool) {
 	if !a.settle() {
 		return
 	}
-	end := answered
+	end := callAnswered
 	if !ok {
-		end = failed
+		end = callFailed
 	}
 	a.call.finish(end)
 }
 
-// notRun is a gate's word that it did not start the attempt.
-func (a *attempt) notRun(e gate.Event) {
+// onNotRun handles a gate's response that it did not start the attempt.
+func (a *attempt) onNotRun(e gate.Event) {
 	c := a.call
 	if e.RetryAfter > 0 {
 		c.retryAfter = e.RetryAfter
 	}
 	if e.Kind == gate.Moved {
-		c.s.result.moves++
-		c.pool().SetCrowded(c.s.now(), a.to)
+		c.sim.result.moves++
+		c.pool().SetCrowded(c.sim.now(), a.to)
 		a.movedTo = e.To
-		a.ended(retry.Moved)
+		a.onEnded(retry.Moved)
 		return
 	}
-	how := retry.NotRun
+	ended := retry.NotRun
 	switch e.Reason {
 	case gate.Draining:
 		c.pool().SetDraining(a.to)
-		how = retry.Leaving
+		ended = retry.Leaving
 	case gate.QueueFull, gate.TooLate:
-		c.pool().SetCrowded(c.s.now(), a.to)
+		c.pool().SetCrowded(c.sim.now(), a.to)
 	}
-	if e.Everywhere && how == retry.NotRun {
-		how = retry.NotRunAnywhere
+	if e.Everywhere && ended == retry.NotRun {
+		ended = retry.NotRunAnywhere
 	}
-	a.ended(how)
+	a.onEnded(ended)
 }
 
-// ended takes in an attempt without an answer.
-func (a *attempt) ended(how retry.Ended) {
+// onEnded handles an attempt that ended without an answer.
+func (a *attempt) onEnded(ended retry.Ended) {
 	if !a.settle() {
 		return
 	}
 	c := a.call
-	if how == retry.Moved {
-		c.follow(how, a)
+	if ended == retry.Moved {
+		c.applyRetryRules(ended, a)
 		return
 	}
 	c.tried = append(c.tried, a.to.Host)
-	if len(c.live) > 0 {
-		// The other attempt still runs and decides.
+	if len(c.active) > 0 {
+		// The other attempt is still running and determines the outcome.
 		return
 	}
-	c.follow(how, a)
+	c.applyRetryRules(ended, a)
 }
 
-func (c *call) follow(how retry.Ended, a *attempt) {
-	switch action := c.rules.Next(how, c.budget(), c.pool().Others(c.tried)); action {
+func (c *call) applyRetryRules(ended retry.Ended, a *attempt) {
+	switch action := c.retryState.Next(ended, c.budget(), c.pool().Others(c.tried)); action {
 	case retry.TryNamed:
 		to := c.pool().Get(a.movedTo)
 		c.pool().Start(to)
-		c.try(to)
+		c.sendAttempt(to)
 	case retry.TryOther:
-		c.s.result.retries++
-		c.try(c.pick())
+		c.sim.result.retries++
+		c.sendAttempt(c.pick())
 	default:
-		if len(c.live) == 0 {
+		if len(c.active) == 0 {
 			c.giveUp(action)
 		}
 	}
 }
 
-// hint makes a second attempt beside a stuck one.
-func (c *call) hint(a *attempt, host string) {
-	if c.over || c.hedged || a.settled || c.rules.MaxAttempts < 2 {
+// hedge sends a second attempt beside a stuck one, to the sibling that the gate named.
+func (c *call) hedge(a *attempt, host string) {
+	if c.finished || c.hedged || a.settled || c.retryState.MaxAttempts < 2 {
 		return
 	}
 	to := c.pool().Get(host)
-	if to == nil || !c.rules.Hedge(c.budget()) {
+	if to == nil || !c.retryState.Hedge(c.budget()) {
 		return
 	}
 	c.hedged = true
-	c.s.result.hedges++
+	c.sim.result.hedges++
 	c.pool().Start(to)
-	c.try(to)
+	c.sendAttempt(to)
 }
 
 func (c *call) giveUp(action retry.Action) {
 	if action == retry.GiveUpUnknown {
-		c.finish(failed)
+		c.finish(callFailed)
 		return
 	}
-	c.finish(notRun)
+	c.finish(callNotRun)
 }
 
 func (c *call) timeOut() {
-	if !c.over {
-		c.finish(failed)
+	if !c.finished {
+		c.finish(callFailed)
 	}
 }
 
-// finish gives the caller its final answer and ends what still runs.
-func (c *call) finish(end outcome) {
-	if c.over {
+// finish gives the caller its final outcome and cancels the attempts still running.
+func (c *call) finish(end callOutcome) {
+	if c.finished {
 		return
 	}
-	c.over = true
-	for _, a := range slices.Clone(c.live) {
+	c.finished = true
+	for _, a := range slices.Clone(c.active) {
 		a.settle()
-		c.s.between(c.origin, a.node, func() { a.node.abandon(a) })
+		c.sim.deliver(c.origin, a.node, func() { a.node.cancelAttempt(a) })
 	}
-	if end == notRun && c.runs > 0 && !c.class.Idempotent {
-		c.s.result.falseNotRun++
+	if end == callNotRun && c.executions > 0 && !c.class.Idempotent {
+		c.sim.result.falseNotRun++
 	}
-	if c.runs > 1 && !c.class.Idempotent {
-		c.s.result.runTwice++
+	if c.executions > 1 && !c.class.Idempotent {
+		c.sim.result.runTwice++
 	}
-	c.end(end)
+	c.done(end)
 }
--- a/internal/emulator/coldstart.go
+++ b/internal/emulator/coldstart.go
@@ -8,74 +8,75 @@
 	"cactuspath/core/retry"
 )
 
-// Cold is how backend servers of a service behave after a start.
-type Cold struct {
-	// For is how long they stay cold, in which work takes Factor times as long.
+// ColdStart describes how a service's backend servers behave after a start.
+type ColdStart struct {
+	// For is how long a server stays cold; during this time work takes Factor times as long.
 	For    Millis  `json:"for"`
 	Factor float64 `json:"factor"`
-	// PerSecond is how many requests a second one tolerates while it is cold; at more
-	// than CrashFactor times that it ends, and is back after Down.
+	// PerSecond is the rate of requests that a cold server tolerates. It crashes at more
+	// than CrashFactor times this rate, and starts again after Down.
 	PerSecond   float64 `json:"perSecond"`
 	CrashFactor float64 `json:"crashFactor"`
 	Down        Millis  `json:"down"`
 }
 
-// coldSpan is the span in which the requests of a cold server are counted.
-const coldSpan = time.Second
+// coldWindow is the sliding window over which the requests to a cold server are counted.
+const coldWindow = time.Second
 
-// lifetime is the present start of a backend server.
-type lifetime struct {
+// serverState is the state of a backend server since its last start.
+type serverState struct {
 	down      bool
 	coldUntil time.Duration
-	// begun are the starts of requests within the last coldSpan.
-	begun []time.Duration
+	// recentStarts are the start times of requests within the last coldWindow.
+	recentStarts []time.Duration
 }
 
-// overrun counts the start of a request and tells whether it is one too many for a
-// cold server.
-func (n *node) overrun() bool {
-	l, now := &n.life, n.s.now()
-	l.begun = append(l.begun, now)
-	for l.begun[0] <= now-coldSpan {
-		l.begun = l.begun[1:]
+// recordStart records the start of a request and reports whether it exceeds the rate at
+// which a cold server crashes.
+func (n *node) recordStart() bool {
+	s, now := &n.state, n.sim.now()
+	s.recentStarts = append(s.recentStarts, now)
+	for s.recentStarts[0] <= now-coldWindow {
+		s.recentStarts = s.recentStarts[1:]
 	}
-	cold := n.service.Cold
-	return now < l.coldUntil && cold.CrashFactor > 0 && float64(len(l.begun)) > cold.CrashFactor*cold.PerSecond
+	cold := n.service.ColdStart
+	return now < s.coldUntil && cold.CrashFactor > 0 && float64(len(s.recentStarts)) > cold.CrashFactor*cold.PerSecond
 }
 
-// crash ends the backend server: what ran is lost, and it starts again after a while.
+// crash ends the backend server, with the loss of its running requests, and restarts it
+// after the given time.
 func (n *node) crash(down time.Duration) {
-	if n.life.down {
+	if n.state.down {
 		return
 	}
-	n.life = lifetime{down: true}
-	for _, a := range n.running() {
-		n.server.leave(a.job)
-		n.leave(a, gate.Failed)
-		n.s.between(n, a.call.origin, func() { a.ended(retry.Lost) })
+	n.state = serverState{down: true}
+	for _, a := range n.runningAttempts() {
+		n.server.remove(a.job)
+		n.finishAttempt(a, gate.Failed)
+		n.sim.deliver(n, a.call.origin, func() { a.onEnded(retry.Lost) })
 	}
-	n.carryOut(n.gate.SetDown(n.s.now(), true))
-	n.s.clock.After(down, n.restart)
+	n.handleEvents(n.gate.SetDown(n.sim.now(), true))
+	n.sim.clock.After(down, n.restart)
 }
 
 func (n *node) restart() {
-	now, cold := n.s.now(), n.service.Cold
-	n.life.down, n.life.coldUntil = false, now+cold.For.Duration()
+	now, cold := n.sim.now(), n.service.ColdStart
+	n.state.down, n.state.coldUntil = false, now+cold.For.Duration()
 	if cold.Factor > 0 {
-		n.server.change(func() { n.server.slowness = cold.Factor })
-		n.s.clock.At(n.life.coldUntil, func() {
-			if now := n.s.now(); !n.life.down && now >= n.life.coldUntil {
-				n.server.change(func() { n.server.slowness = 1 })
+		n.server.update(func() { n.server.slowness = cold.Factor })
+		n.sim.clock.At(n.state.coldUntil, func() {
+			if now := n.sim.now(); !n.state.down && now >= n.state.coldUntil {
+				n.server.update(func() { n.server.slowness = 1 })
 			}
 		})
 	}
-	n.carryOut(n.gate.ServerRestarted(now))
+	n.handleEvents(n.gate.ServerRestarted(now))
 	n.gate.SetCold(now, cold.For.Duration())
-	n.carryOut(n.gate.SetDown(now, false))
+	n.handleEvents(n.gate.SetDown(now, false))
 }
 
-// running lists the attempts at the backend server, by handle.
-func (n *node) running() []*attempt {
+// runningAttempts lists the attempts that run at the backend server, ordered by handle.
+func (n *node) runningAttempts() []*attempt {
 	var list []*attempt
 	for _, a := range n.requests {
 		if a.job != nil {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -29,19 +29,19 @@
 	return files
 }
 
-// Each scenario states what the chosen policy must reach, and in comparison to
-// others that meet the same requests and the same noise.
-func TestScenariosMeetTheirStatedOutcomes(t *testing.T) {
-	checkOutcomes(t, func(*Scenario) {})
+// Checks the expectations in each scenario: bounds on the policy that the nodes run, in
+// absolute terms and relative to others under the same requests and the same noise.
+func TestScenariosMeetTheirExpectations(t *testing.T) {
+	checkExpectations(t, func(*Scenario) {})
 }
 
-// The same where running requests follow the speed of their server: the gates find out
-// which kind of server they have, and reach what is stated on either.
-func TestScenariosMeetTheirStatedOutcomesWhereRequestsFollowTheirServer(t *testing.T) {
-	checkOutcomes(t, func(s *Scenario) { each(s, func(v *Service) { v.KeepsPace = false }) })
+// The same with servers whose running requests follow the speed of the server: the gates
+// must detect which kind of server they have, and meet the expectations with either.
+func TestScenariosMeetTheirExpectationsWithVaryingSpeed(t *testing.T) {
+	checkExpectations(t, func(s *Scenario) { eachService(s, func(v *Service) { v.KeepsPace = false }) })
 }
 
-func checkOutcomes(t *testing.T, change func(*Scenario)) {
+func checkExpectations(t *testing.T, change func(*Scenario)) {
 	for _, file := range scenarios(t) {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".json"), func(t *testing.T) {
 			t.Parallel()
@@ -64,8 +64,8 @@
 	}
 }
 
-// The same seed gives the same figures, another one other ones.
-func TestRunsRepeat(t *testing.T) {
+// The same seed must give the same figures, and another seed different ones.
+func TestRunIsDeterministic(t *testing.T) {
 	s := readScenario(t, filepath.Join(folder, "alder-finch-usual.json"))
 	v, err := Find(Chosen)
 	assert.NilError(t, err)
@@ -74,7 +74,7 @@
 	assert.Assert(t, first.Asked != Run(s, v, 2).Asked)
 }
 
-func TestScenariosThatSayNothingSensibleAreRefused(t *testing.T) {
+func TestReadRejectsInvalidScenarios(t *testing.T) {
 	const service = `"services":[{"name":"a","endpoints":1,"slots":1}]`
 	cases := []struct{ desc, text, want string }{
 		{"not JSON", `{`, "not a scenario"},
@@ -93,9 +93,8 @@
 	}
 }
 
-// BenchmarkPolicies shows what each policy reaches in each scenario: the share of
-// the requests that are answered in time, what was earned of what could have been,
-// and the slowest answer in a hundred.
+// BenchmarkPolicies reports for each policy and scenario the share of requests answered
+// in time, the share of the possible value that was earned, and the p99 of the latency.
 func BenchmarkPolicies(b *testing.B) {
 	for _, file := range scenarios(b) {
 		s := readScenario(b, file)
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -12,32 +12,34 @@
 	"cactuspath/core/retry"
 )
 
-// node is a host: a backend server with its gate, and the callers beside it.
+// node is a host: a backend server, its gate, and the callers on the same host.
 type node struct {
-	s       *simulation
+	sim     *simulation
 	host    string
 	center  int
 	service *Service
 	gate    *gate.Gate
 	server  *server
-	// random draws what this backend server does, the same for every policy.
-	random   *rand.Rand
-	requests map[gate.Handle]*attempt
-	life     lifetime
-	next     gate.Handle
-	armed    time.Duration
-	observed time.Duration
-	// pools and budgets are by service, for what this host's callers send.
-	pools   []*balancer.Pool
-	budgets []*retry.Budget
-	refill  []time.Duration
+	// random drives the behaviour of this backend server. It draws the same for every
+	// policy.
+	random     *rand.Rand
+	requests   map[gate.Handle]*attempt
+	state      serverState
+	lastHandle gate.Handle
+	timerAt    time.Duration
+	observedAt time.Duration
+	// pools and budgets are indexed by service and apply to the calls from this host.
+	// refilledAt is when each budget was last refilled.
+	pools      []*balancer.Pool
+	budgets    []*retry.Budget
+	refilledAt []time.Duration
 }
 
 func (n *node) setSiblings() {
 	var siblings []gate.Sibling
-	for _, other := range n.s.nodes {
+	for _, other := range n.sim.nodes {
 		if other != n && other.service == n.service {
-			siblings = append(siblings, gate.Sibling{Host: other.host, Distance: n.s.distance(n, other), DataCenter: centerName(other.center), Near: other.center == n.center})
+			siblings = append(siblings, gate.Sibling{Host: other.host, Distance: n.sim.distance(n, other), DataCenter: centerName(other.center), Near: other.center == n.center})
 		}
 	}
 	n.gate.SetSiblings(siblings)
@@ -47,30 +49,30 @@
 
 func (n *node) config() gate.Config {
 	share := measure.GateShare(uint32(n.service.ReportsPerSecond), n.service.Endpoints)
-	return gate.Config{Slots: n.service.Slots, Queue: n.service.Queue, Siblings: n.s.variant.Siblings, ReportsPerSecond: share, BytesPerSecond: share * gate.ReportBytes, ColdStarts: int(n.service.Cold.PerSecond), Off: n.s.variant.Off}
+	return gate.Config{Slots: n.service.Slots, Queue: n.service.Queue, Siblings: n.sim.variant.Siblings, ReportsPerSecond: share, BytesPerSecond: share * gate.ReportBytes, ColdStarts: int(n.service.ColdStart.PerSecond), Off: n.sim.variant.Off}
 }
 
-// loadInterval is how often a node asks its backend server for its load when no
-// answer has told it.
-const loadInterval = 100 * time.Millisecond
+// loadPollInterval is how often a node polls its backend server for its slowdown when no
+// response has carried it.
+const loadPollInterval = 100 * time.Millisecond
 
-// freshFigure is how old a figure may be when a request comes.
-const freshFigure = 20 * time.Millisecond
+// maxLoadAge is how old the last reported slowdown may be when a request arrives.
+const maxLoadAge = 20 * time.Millisecond
 
-func (n *node) watchLoad() {
-	if n.s.now()-n.observed >= loadInterval {
-		n.observe()
+func (n *node) pollLoad() {
+	if n.sim.now()-n.observedAt >= loadPollInterval {
+		n.observeLoad()
 	}
-	n.s.clock.After(loadInterval, n.watchLoad)
+	n.sim.clock.After(loadPollInterval, n.pollLoad)
 }
 
-func (n *node) observe() {
-	n.observed = n.s.now()
-	n.carryOut(n.gate.Observe(n.s.now(), n.server.told()))
+func (n *node) observeLoad() {
+	n.observedAt = n.sim.now()
+	n.handleEvents(n.gate.Observe(n.sim.now(), n.server.slowdown()))
 }
 
-// noise draws the speed of each interval.
-func (n *node) noise() {
+// drawNoise draws the noise of the next interval, and schedules the draw after it.
+func (n *node) drawNoise() {
 	noise := n.service.Noise
 	if noise.Every <= 0 {
 		return
@@ -79,111 +81,113 @@
 	if n.random.Float64() < noise.Share {
 		factor = noise.Factor
 	}
-	n.server.change(func() { n.server.noise = factor })
-	n.s.clock.After(noise.Every.Duration(), n.noise)
+	n.server.update(func() { n.server.noise = factor })
+	n.sim.clock.After(noise.Every.Duration(), n.drawNoise)
 }
 
-// receive is the arrival of an attempt at its gate.
+// receive passes an arriving attempt to the gate.
 func (n *node) receive(a *attempt) {
 	if a.settled {
 		return
 	}
 	c := a.call
-	if n.s.now()-n.observed >= freshFigure {
-		n.observe()
+	if n.sim.now()-n.observedAt >= maxLoadAge {
+		n.observeLoad()
 	}
-	n.next++
-	a.handle = n.next
+	n.lastHandle++
+	a.handle = n.lastHandle
 	n.requests[a.handle] = a
-	now := n.s.now()
-	r := gate.Request{Handle: a.handle, ID: a.id, Caller: c.origin.host, Deadline: c.deadline, Movable: c.rules.Movable() && len(c.tried) == 0,
+	now := n.sim.now()
+	r := gate.Request{Handle: a.handle, ID: a.id, Caller: c.origin.host, Deadline: c.deadline, Movable: c.retryState.Movable() && len(c.tried) == 0,
 		From: centerName(c.origin.center), Bulky: c.class.Bulky, Repeatable: c.class.Idempotent, Class: c.class.Name, Priority: c.class.Priority}
 	if c.class.Aim > 0 {
 		r.Aim = c.class.Aim.Duration()
 		r.AimAt = max(1, c.deadline-c.class.Timeout.Duration()+r.Aim)
 	}
-	n.carryOut(n.gate.Arrive(now, r))
+	n.handleEvents(n.gate.Arrive(now, r))
 }
 
-// arm lets the gate end what waits for too long.
-func (n *node) arm() {
+// scheduleTimer schedules the gate's next timer, which ends requests that have waited
+// for too long.
+func (n *node) scheduleTimer() {
 	at, ok := n.gate.NextTimer()
-	now := n.s.now()
-	if !ok || n.armed > now && n.armed <= at {
+	now := n.sim.now()
+	if !ok || n.timerAt > now && n.timerAt <= at {
 		return
 	}
-	n.armed = max(at, now+time.Millisecond)
-	armed := n.armed
-	n.s.clock.At(armed, func() {
-		if n.armed == armed {
-			n.armed = 0
-			n.carryOut(n.gate.Tick(n.s.now()))
+	n.timerAt = max(at, now+time.Millisecond)
+	timerAt := n.timerAt
+	n.sim.clock.At(timerAt, func() {
+		if n.timerAt == timerAt {
+			n.timerAt = 0
+			n.handleEvents(n.gate.Tick(n.sim.now()))
 		}
 	})
 }
 
-// carryOut does what the gate decided.
-func (n *node) carryOut(events []gate.Event) {
+// handleEvents carries out the decisions of the gate.
+func (n *node) handleEvents(events []gate.Event) {
 	for _, e := range events {
 		a := n.requests[e.Handle]
 		switch e.Kind {
 		case gate.Started:
 			n.execute(a)
 		case gate.Send:
-			n.post(e)
+			n.sendReport(e)
 		case gate.Hint:
 			if a != nil {
-				n.s.between(n, a.call.origin, func() { a.call.hint(a, e.To) })
+				n.sim.deliver(n, a.call.origin, func() { a.call.hedge(a, e.To) })
 			}
 		case gate.Refused, gate.Moved:
 			delete(n.requests, e.Handle)
-			n.s.between(n, a.call.origin, func() { a.notRun(e) })
+			n.sim.deliver(n, a.call.origin, func() { a.onNotRun(e) })
 		}
 	}
-	n.arm()
+	n.scheduleTimer()
 }
 
-func (n *node) post(e gate.Event) {
+// sendReport sends a load report to a sibling.
+func (n *node) sendReport(e gate.Event) {
 	report := e.Report
 	report.Incarnation = 1
-	to := n.s.byHost[e.To]
-	n.s.between(n, to, func() { to.gate.Learn(n.s.now(), report) })
+	to := n.sim.byHost[e.To]
+	n.sim.deliver(n, to, func() { to.gate.Learn(n.sim.now(), report) })
 }
 
-// execute runs an attempt at the backend server.
+// execute starts an attempt at the backend server.
 func (n *node) execute(a *attempt) {
 	c := a.call
-	if n.life.down {
-		n.leave(a, gate.NeverReached)
-		n.s.between(n, c.origin, func() { a.ended(retry.Unreached) })
+	if n.state.down {
+		n.finishAttempt(a, gate.NeverReached)
+		n.sim.deliver(n, c.origin, func() { a.onEnded(retry.Unreached) })
 		return
 	}
-	if n.random.Float64() < n.server.rejects {
-		n.leave(a, gate.NeverReached)
-		n.s.between(n, c.origin, func() { a.ended(retry.Rejected) })
+	if n.random.Float64() < n.server.rejectShare {
+		n.finishAttempt(a, gate.NeverReached)
+		n.sim.deliver(n, c.origin, func() { a.onEnded(retry.Rejected) })
 		return
 	}
-	c.runs++
-	a.job = n.job(c)
+	c.executions++
+	a.job = n.newJob(c)
 	a.job.done = func(ok bool) {
 		outcome := gate.Completed
 		if !ok {
 			outcome = gate.Failed
 		}
-		n.leave(a, outcome)
-		n.observe()
-		n.s.between(n, c.origin, func() { a.answered(ok) })
+		n.finishAttempt(a, outcome)
+		n.observeLoad()
+		n.sim.deliver(n, c.origin, func() { a.onAnswer(ok) })
 	}
 	n.server.start(a.job)
-	n.s.clock.At(c.deadline, func() { n.server.end(a.job, false) })
-	if n.overrun() {
-		n.s.result.crashes++
-		n.crash(n.service.Cold.Down.Duration())
+	n.sim.clock.At(c.deadline, func() { n.server.finish(a.job, false) })
+	if n.recordStart() {
+		n.sim.result.crashes++
+		n.crash(n.service.ColdStart.Down.Duration())
 	}
 }
 
-// job draws the work of a request.
-func (n *node) job(c *call) *job {
+// newJob draws the work of a request, and includes its calls to other services.
+func (n *node) newJob(c *call) *job {
 	class := c.class
 	mean := float64(class.Work.Duration()) * math.Exp(-class.Spread*class.Spread/2)
 	work := time.Duration(mean * math.Exp(class.Spread*n.random.NormFloat64()))
@@ -191,52 +195,55 @@
 		return &job{parts: []time.Duration{work}}
 	}
 	if class.Together {
-		return &job{parts: []time.Duration{work / 2, work - work/2}, between: func(ended func(bool)) { n.callAll(class.Calls, c.deadline, ended) }}
+		return &job{parts: []time.Duration{work / 2, work - work/2}, makeCalls: func(called func(bool)) { n.callConcurrently(class.Calls, c.deadline, called) }}
 	}
-	return &job{parts: []time.Duration{work / 2, work - work/2}, between: func(ended func(bool)) { n.callInTurn(class.Calls, c.deadline, ended) }}
+	return &job{parts: []time.Duration{work / 2, work - work/2}, makeCalls: func(called func(bool)) { n.callSequentially(class.Calls, c.deadline, called) }}
 }
 
-func (n *node) callAll(classes []string, deadline time.Duration, ended func(bool)) {
-	left, good := len(classes), true
+// callConcurrently makes all calls at once; called receives whether all were answered.
+func (n *node) callConcurrently(classes []string, deadline time.Duration, called func(bool)) {
+	left, allAnswered := len(classes), true
 	for _, name := range classes {
-		n.s.begin(n, n.s.scenario.class(name), deadline, func(end outcome) {
-			good = good && end == answered
+		n.sim.startCall(n, n.sim.scenario.class(name), deadline, func(end callOutcome) {
+			allAnswered = allAnswered && end == callAnswered
 			if left--; left == 0 {
-				ended(good)
+				called(allAnswered)
 			}
 		})
 	}
 }
 
-func (n *node) callInTurn(classes []string, deadline time.Duration, ended func(bool)) {
+// callSequentially makes the calls one after the other, up to the first that is not
+// answered; called receives whether all were.
+func (n *node) callSequentially(classes []string, deadline time.Duration, called func(bool)) {
 	if len(classes) == 0 {
-		ended(true)
+		called(true)
 		return
 	}
-	n.s.begin(n, n.s.scenario.class(classes[0]), deadline, func(end outcome) {
-		if end != answered {
-			ended(false)
+	n.sim.startCall(n, n.sim.scenario.class(classes[0]), deadline, func(end callOutcome) {
+		if end != callAnswered {
+			called(false)
 			return
 		}
-		n.callInTurn(classes[1:], deadline, ended)
+		n.callSequentially(classes[1:], deadline, called)
 	})
 }
 
-// leave takes an attempt that ran out of the gate.
-func (n *node) leave(a *attempt, how gate.Outcome) {
+// finishAttempt reports the outcome of a started attempt to the gate.
+func (n *node) finishAttempt(a *attempt, outcome gate.Outcome) {
 	delete(n.requests, a.handle)
-	n.carryOut(n.gate.Finish(n.s.now(), a.handle, how))
+	n.handleEvents(n.gate.Finish(n.sim.now(), a.handle, outcome))
 }
 
-// abandon ends an attempt whose caller has gone or has another answer.
-func (n *node) abandon(a *attempt) {
+// cancelAttempt ends an attempt whose caller is gone or has its outcome already.
+func (n *node) cancelAttempt(a *attempt) {
 	if n.requests[a.handle] != a {
 		return
 	}
 	if a.job != nil {
-		n.server.leave(a.job)
-		n.leave(a, gate.Abandoned)
+		n.server.remove(a.job)
+		n.finishAttempt(a, gate.Abandoned)
 		return
 	}
-	n.carryOut(n.gate.Cancel(n.s.now(), a.handle))
+	n.handleEvents(n.gate.Cancel(n.sim.now(), a.handle))
 }
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -9,20 +9,21 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result sums up one run. Shares are of what was asked, weighed by value where
-// the name says so.
+// Result summarizes one run. Shares refer to all requests; those named after the value
+// are weighted by it.
 type Result struct {
 	Policy string `json:"policy"`
 	Asked  int    `json:"asked"`
-	// Value is what was earned of what could have been; WorstSeconds the same for
-	// the two worst spans of two seconds, WorstClass for the worst class.
+	// Value is the share of the possible value that was earned. WorstSeconds is the same
+	// share for the two worst windows of two seconds, WorstClass for the worst class.
 	Value        float64 `json:"value"`
 	WorstSeconds float64 `json:"worstSeconds"`
 	WorstClass   float64 `json:"worstClass"`
-	// Served is the share that got an answer, in time or late; InAim in time.
+	// Served is the share of requests that were answered, in time or late, and InAim the
+	// share that were answered in time.
 	Served float64 `json:"served"`
 	InAim  float64 `json:"inAim"`
-	// RefusedTwice is the share that came back after a refusal and failed again.
+	// RefusedTwice is the share that was sent again after a refusal and not answered then.
 	RefusedTwice float64 `json:"refusedTwice"`
 	P50          float64 `json:"p50Ms"`
 	P99          float64 `json:"p99Ms"`
@@ -32,15 +33,15 @@
 	Hedges       float64 `json:"hedgesPerRequest"`
 	RunTwice     int     `json:"runTwice"`
 	FalseNotRun  int     `json:"falseNotRun"`
-	// Crashes counts the cold servers that ended under too many requests.
+	// Crashes counts the crashes of cold servers under too many requests.
 	Crashes int `json:"crashes"`
-	// Afterwards is the share of the value that was earned of what was asked from two
-	// seconds after the last event, when servers that had to start again are warm.
+	// Afterwards is the share of the possible value that was earned from two seconds
+	// after the last event, counted from when servers that had to restart are warm.
 	Afterwards float64       `json:"afterwards"`
 	Classes    []ClassResult `json:"classes"`
 }
 
-// ClassResult is the part of one class.
+// ClassResult summarizes the requests of one class.
 type ClassResult struct {
 	Class   string  `json:"class"`
 	Asked   int     `json:"asked"`
@@ -51,113 +52,117 @@
 	Value   float64 `json:"value"`
 }
 
-// windowLength is the span of the worst seconds.
+// windowLength is the length of the windows that WorstSeconds is computed from.
 const windowLength = 2 * time.Second
 
-type earned struct{ got, could float64 }
+// valueTally is the value that was earned and that could have been earned.
+type valueTally struct{ earned, possible float64 }
 
-func (e earned) share() float64 {
-	if e.could == 0 {
+func (e valueTally) share() float64 {
+	if e.possible == 0 {
 		return 1
 	}
-	return e.got / e.could
+	return e.earned / e.possible
 }
 
+// collector accumulates the results of a run.
 type collector struct {
-	scenario                 *Scenario
-	result                   Result
-	classes                  map[string]*ClassResult
-	values                   map[string]*earned
-	windows                  []earned
-	total                    earned
-	latency                  *hdrhistogram.Histogram
-	served, inAim, twice     int
-	attempts, moves, retries int
-	hedges                   int
-	runTwice, falseNotRun    int
-	crashes                  int
-	// recovered is when the last event has passed; seconds are the books of each.
-	recovered time.Duration
-	seconds   []earned
+	scenario                    *Scenario
+	result                      Result
+	classes                     map[string]*ClassResult
+	classValues                 map[string]*valueTally
+	windows                     []valueTally
+	total                       valueTally
+	latency                     *hdrhistogram.Histogram
+	served, inAim, refusedTwice int
+	attempts, moves, retries    int
+	hedges                      int
+	runTwice, falseNotRun       int
+	crashes                     int
+	// recoveredAt is when the service should have recovered from the last event; seconds
+	// holds a tally for each second.
+	recoveredAt time.Duration
+	seconds     []valueTally
 }
 
-const longestLatency = int64(time.Minute / time.Microsecond)
+const maxLatencyMicros = int64(time.Minute / time.Microsecond)
 
 func newCollector(policy string, scenario *Scenario) *collector {
 	windows := int(scenario.Duration.Duration()/windowLength) + 1
-	return &collector{scenario: scenario, result: Result{Policy: policy}, classes: map[string]*ClassResult{}, values: map[string]*earned{}, windows: make([]earned, windows), recovered: recoveredAt(scenario), seconds: make([]earned, int(scenario.Duration.Duration()/time.Second)+1),
-		latency: hdrhistogram.New(1, longestLatency, 3)}
+	return &collector{scenario: scenario, result: Result{Policy: policy}, classes: map[string]*ClassResult{}, classValues: map[string]*valueTally{}, windows: make([]valueTally, windows), recoveredAt: recoveryEnd(scenario), seconds: make([]valueTally, int(scenario.Duration.Duration()/time.Second)+1),
+		latency: hdrhistogram.New(1, maxLatencyMicros, 3)}
 }
 
-func (c *collector) asked(r *asked) {
+func (c *collector) recordRequest(r *clientRequest) {
 	c.result.Asked++
 	name := r.class.Name
 	if c.classes[name] == nil {
-		c.classes[name], c.values[name] = &ClassResult{Class: name}, &earned{}
+		c.classes[name], c.classValues[name] = &ClassResult{Class: name}, &valueTally{}
 	}
 	c.classes[name].Asked++
-	for _, e := range c.books(r) {
-		e.could += r.class.Value
+	for _, e := range c.tallies(r) {
+		e.possible += r.class.Value
 	}
 }
 
-// books are where a request counts.
-func (c *collector) books(r *asked) []*earned {
-	return []*earned{&c.total, c.values[r.class.Name], &c.windows[r.first/windowLength], &c.seconds[r.first/time.Second]}
+// tallies returns the tallies that a request counts towards.
+func (c *collector) tallies(r *clientRequest) []*valueTally {
+	return []*valueTally{&c.total, c.classValues[r.class.Name], &c.windows[r.firstSent/windowLength], &c.seconds[r.firstSent/time.Second]}
 }
 
-// recoveryTime is how long a service may take once its servers are warm.
-const recoveryTime = 2 * time.Second
+// recoveryAllowance is how long a service may take to recover once its servers are warm.
+const recoveryAllowance = 2 * time.Second
 
-// recoveredAt is when the last event is over, its servers are warm, and the service had
-// its time to recover.
-func recoveredAt(s *Scenario) (at time.Duration) {
+// recoveryEnd returns when the last event is over, its servers are warm, and the
+// recoveryAllowance has passed.
+func recoveryEnd(s *Scenario) (at time.Duration) {
 	cold := time.Duration(0)
 	for _, service := range s.Services {
-		cold = max(cold, service.Cold.For.Duration())
+		cold = max(cold, service.ColdStart.For.Duration())
 	}
 	for _, e := range s.Events {
-		at = max(at, e.At.Duration()+e.For.Duration()+cold+recoveryTime)
+		at = max(at, e.At.Duration()+e.For.Duration()+cold+recoveryAllowance)
 	}
 	return at
 }
 
-// afterwards is the share of what was asked since the service recovered.
-func (c *collector) afterwards() float64 {
-	var sum earned
+// valueAfterRecovery returns the share of the possible value that was earned by requests
+// first sent after the recovery.
+func (c *collector) valueAfterRecovery() float64 {
+	var sum valueTally
 	for second, e := range c.seconds {
-		if time.Duration(second)*time.Second >= c.recovered {
-			sum.got, sum.could = sum.got+e.got, sum.could+e.could
+		if time.Duration(second)*time.Second >= c.recoveredAt {
+			sum.earned, sum.possible = sum.earned+e.earned, sum.possible+e.possible
 		}
 	}
 	return sum.share()
 }
 
-func (c *collector) ended(r *asked, end outcome) {
+func (c *collector) recordOutcome(r *clientRequest, end callOutcome) {
 	class := c.classes[r.class.Name]
 	value := 0.0
-	took := r.s.now() - r.first
+	took := r.sim.now() - r.firstSent
 	switch {
-	case end == answered && took <= r.class.Aim.Duration():
+	case end == callAnswered && took <= r.class.Aim.Duration():
 		class.InAim++
 		c.inAim++
 		value = r.class.Value
-	case end == answered:
+	case end == callAnswered:
 		class.Late++
 		value = r.class.LateValue
-	case end == notRun:
+	case end == callNotRun:
 		class.Refused++
 	default:
 		class.Failed++
 	}
-	if end == answered {
+	if end == callAnswered {
 		c.served++
 		_ = c.latency.RecordValue(took.Microseconds())
 	} else if r.refused {
-		c.twice++
+		c.refusedTwice++
 	}
-	for _, e := range c.books(r) {
-		e.got += value
+	for _, e := range c.tallies(r) {
+		e.earned += value
 	}
 }
 
@@ -167,27 +172,27 @@
 	r.Value, r.WorstSeconds = c.total.share(), c.worstSeconds()
 	r.WorstClass = 1
 	for _, class := range c.scenario.Classes {
-		held := c.classes[class.Name]
-		if held == nil {
+		classResult := c.classes[class.Name]
+		if classResult == nil {
 			continue
 		}
-		held.Value = c.values[class.Name].share()
-		r.WorstClass = min(r.WorstClass, held.Value)
-		r.Classes = append(r.Classes, *held)
+		classResult.Value = c.classValues[class.Name].share()
+		r.WorstClass = min(r.WorstClass, classResult.Value)
+		r.Classes = append(r.Classes, *classResult)
 	}
-	r.Served, r.InAim, r.RefusedTwice = float64(c.served)/asked, float64(c.inAim)/asked, float64(c.twice)/asked
+	r.Served, r.InAim, r.RefusedTwice = float64(c.served)/asked, float64(c.inAim)/asked, float64(c.refusedTwice)/asked
 	r.P50, r.P99 = float64(c.latency.ValueAtQuantile(50))/1000, float64(c.latency.ValueAtQuantile(99))/1000
 	r.Attempts, r.Moves, r.Retries, r.Hedges = float64(c.attempts)/asked, float64(c.moves)/asked, float64(c.retries)/asked, float64(c.hedges)/asked
 	r.RunTwice, r.FalseNotRun = c.runTwice, c.falseNotRun
-	r.Crashes, r.Afterwards = c.crashes, c.afterwards()
+	r.Crashes, r.Afterwards = c.crashes, c.valueAfterRecovery()
 	return r
 }
 
-// worstSeconds is the mean of the two worst windows.
+// worstSeconds returns the mean of the two worst windows.
 func (c *collector) worstSeconds() float64 {
 	var shares []float64
 	for _, w := range c.windows {
-		if w.could > 0 {
+		if w.possible > 0 {
 			shares = append(shares, w.share())
 		}
 	}
@@ -198,7 +203,7 @@
 	return (shares[0] + shares[1]) / 2
 }
 
-// metrics gives every number by the name that Expect uses.
+// metrics returns every figure under the name that an Expect uses.
 func (r *Result) metrics() map[string]float64 {
 	return map[string]float64{
 		"value": r.Value, "worstSeconds": r.WorstSeconds, "worstClass": r.WorstClass, "served": r.Served, "inAim": r.InAim, "refusedTwice": r.RefusedTwice,
@@ -208,7 +213,8 @@
 	}
 }
 
-// Check names the stated outcomes that were missed.
+// Check describes the scenario's expectations that the results miss. Expectations whose
+// policies were not run are skipped.
 func Check(s *Scenario, results []*Result) (misses []string) {
 	byName := map[string]*Result{}
 	for _, r := range results {
@@ -233,8 +239,8 @@
 	return misses
 }
 
-// PoliciesNeeded lists the policies that a scenario's stated outcomes speak of,
-// the chosen one first.
+// PoliciesNeeded lists the policies that a scenario's expectations refer to, after the
+// one that the nodes run.
 func PoliciesNeeded(s *Scenario) []string {
 	names := []string{Chosen}
 	for _, e := range s.Expect {
--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -11,7 +11,7 @@
 	"cactuspath/internal/virtual"
 )
 
-// simulation runs one scenario with one variant.
+// simulation is the run of one scenario with one variant.
 type simulation struct {
 	clock    virtual.Clock
 	scenario *Scenario
@@ -21,168 +21,170 @@
 	byHost   map[string]*node
 	result   *collector
 	requests uint64
-	// load is by how much traffic has grown.
-	load float64
+	// trafficFactor multiplies the rate of every class.
+	trafficFactor float64
 }
 
-func (s *simulation) now() time.Duration { return s.clock.Now() }
+func (sim *simulation) now() time.Duration { return sim.clock.Now() }
 
-// Run plays the scenario with a variant.
+// Run runs the scenario with a variant.
 func Run(scenario *Scenario, variant Variant, seed uint64) *Result {
-	s := &simulation{scenario: scenario, variant: variant, seed: seed, byHost: map[string]*node{}, load: 1, result: newCollector(variant.Name, scenario)}
-	s.build()
+	sim := &simulation{scenario: scenario, variant: variant, seed: seed, byHost: map[string]*node{}, trafficFactor: 1, result: newCollector(variant.Name, scenario)}
+	sim.build()
 	for i := range scenario.Classes {
 		if c := &scenario.Classes[i]; c.PerSecond > 0 {
-			s.generate(c, s.source(uint64(1000+i)))
+			sim.generateArrivals(c, sim.randomStream(uint64(1000+i)))
 		}
 	}
 	for i, e := range scenario.Events {
-		random := s.source(uint64(2000 + i))
-		s.clock.At(e.At.Duration(), func() { s.strike(e, random) })
+		random := sim.randomStream(uint64(2000 + i))
+		sim.clock.At(e.At.Duration(), func() { sim.startEvent(e, random) })
 	}
-	longest := time.Duration(0)
+	longestTimeout := time.Duration(0)
 	for _, c := range scenario.Classes {
-		longest = max(longest, c.Timeout.Duration())
+		longestTimeout = max(longestTimeout, c.Timeout.Duration())
 	}
-	end := scenario.Duration.Duration() + longest
-	s.clock.RunUntil(func() bool { return s.now() > end })
-	return s.result.finish()
+	end := scenario.Duration.Duration() + longestTimeout
+	sim.clock.RunUntil(func() bool { return sim.now() > end })
+	return sim.result.finish()
 }
 
-// source is a stream of random draws of its own for each purpose, so that two
-// policies meet the same noise and the same arrivals.
-func (s *simulation) source(purpose uint64) *rand.Rand { return rand.New(rand.NewPCG(s.seed, purpose)) }
+// randomStream returns an independent random stream for each purpose, so that all
+// policies run under the same noise and the same arrivals.
+func (sim *simulation) randomStream(purpose uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(sim.seed, purpose))
+}
 
-func (s *simulation) build() {
-	for i := range s.scenario.Services {
-		service := &s.scenario.Services[i]
+func (sim *simulation) build() {
+	for i := range sim.scenario.Services {
+		service := &sim.scenario.Services[i]
 		for j := range service.Endpoints {
-			index := len(s.nodes)
-			n := &node{s: s, host: service.Name + "-" + strconv.Itoa(j), center: (i + j) % s.scenario.DataCenters, service: service,
-				random: s.source(uint64(index)), requests: map[gate.Handle]*attempt{}}
-			n.server = newServer(&s.clock, service)
+			index := len(sim.nodes)
+			n := &node{sim: sim, host: service.Name + "-" + strconv.Itoa(j), center: (i + j) % sim.scenario.DataCenters, service: service,
+				random: sim.randomStream(uint64(index)), requests: map[gate.Handle]*attempt{}}
+			n.server = newServer(&sim.clock, service)
 			n.gate = gate.New(n.host, n.config(), 0)
-			s.nodes = append(s.nodes, n)
-			s.byHost[n.host] = n
+			sim.nodes = append(sim.nodes, n)
+			sim.byHost[n.host] = n
 		}
 	}
-	for i, n := range s.nodes {
+	for i, n := range sim.nodes {
 		n.setSiblings()
-		n.noise()
-		n.watchLoad()
-		s.buildPools(n, s.source(uint64(500+i)))
+		n.drawNoise()
+		n.pollLoad()
+		sim.buildPools(n, sim.randomStream(uint64(500+i)))
 	}
 }
 
-func (s *simulation) buildPools(n *node, random *rand.Rand) {
-	for i := range s.scenario.Services {
+func (sim *simulation) buildPools(n *node, random *rand.Rand) {
+	for i := range sim.scenario.Services {
 		var list []balancer.Candidate
-		for _, other := range s.nodes {
-			if other.service == &s.scenario.Services[i] {
-				list = append(list, balancer.Candidate{Host: other.host, Incarnation: 1, Slots: other.service.Slots, Distance: s.distance(n, other), Near: n.center == other.center})
+		for _, other := range sim.nodes {
+			if other.service == &sim.scenario.Services[i] {
+				list = append(list, balancer.Candidate{Host: other.host, Incarnation: 1, Slots: other.service.Slots, Distance: sim.distance(n, other), Near: n.center == other.center})
 			}
 		}
-		pool := balancer.NewPool(s.variant.Build(random))
+		pool := balancer.NewPool(sim.variant.Build(random))
 		pool.Update(list)
 		budget := retry.NewBudget(0)
-		budget.SetShare(s.scenario.Retry.Ratio, s.scenario.Retry.Slack, len(s.nodes), s.scenario.Retry.Window.Duration())
-		n.pools, n.budgets, n.refill = append(n.pools, pool), append(n.budgets, budget), append(n.refill, 0)
+		budget.SetShare(sim.scenario.RetryBudget.Ratio, sim.scenario.RetryBudget.Slack, len(sim.nodes), sim.scenario.RetryBudget.Window.Duration())
+		n.pools, n.budgets, n.refilledAt = append(n.pools, pool), append(n.budgets, budget), append(n.refilledAt, 0)
 	}
 }
 
-// sameHost is the delay between two processes of one host.
-const sameHost = 50 * time.Microsecond
+// sameHostDelay is the one-way delay between two processes on the same host.
+const sameHostDelay = 50 * time.Microsecond
 
-func (s *simulation) distance(a, b *node) time.Duration {
+func (sim *simulation) distance(a, b *node) time.Duration {
 	switch {
 	case a == b:
-		return sameHost
+		return sameHostDelay
 	case a.center == b.center:
-		return s.scenario.Near.Duration()
+		return sim.scenario.Near.Duration()
 	}
-	return s.scenario.Far.Duration()
+	return sim.scenario.Far.Duration()
 }
 
-// between runs an event once a message from one node has come to another.
-func (s *simulation) between(from, to *node, run func()) {
-	s.clock.After(s.distance(from, to), run)
+// deliver runs an event when a message from one node has arrived at another.
+func (sim *simulation) deliver(from, to *node, run func()) {
+	sim.clock.After(sim.distance(from, to), run)
 }
 
-// generate lets callers send requests of a class, Poisson arrivals.
-func (s *simulation) generate(c *Class, random *rand.Rand) {
-	wait := random.ExpFloat64() / (c.PerSecond * s.load) * float64(time.Second)
-	s.clock.After(time.Duration(wait), func() {
-		if s.now() >= s.scenario.Duration.Duration() {
+// generateArrivals generates the Poisson arrivals of a class.
+func (sim *simulation) generateArrivals(c *Class, random *rand.Rand) {
+	wait := random.ExpFloat64() / (c.PerSecond * sim.trafficFactor) * float64(time.Second)
+	sim.clock.After(time.Duration(wait), func() {
+		if sim.now() >= sim.scenario.Duration.Duration() {
 			return
 		}
-		s.ask(c, random)
-		s.generate(c, random)
+		sim.issueRequest(c, random)
+		sim.generateArrivals(c, random)
 	})
 }
 
-// ask is one caller with its request; it comes back once.
-func (s *simulation) ask(c *Class, random *rand.Rand) {
-	r := &asked{s: s, class: c, first: s.now(), deadline: s.now() + c.Timeout.Duration()}
-	s.result.asked(r)
-	r.send(s.nodes[random.IntN(len(s.nodes))], 1)
+// issueRequest sends a new request from a random host. Its client retries once.
+func (sim *simulation) issueRequest(c *Class, random *rand.Rand) {
+	r := &clientRequest{sim: sim, class: c, firstSent: sim.now(), deadline: sim.now() + c.Timeout.Duration()}
+	sim.result.recordRequest(r)
+	r.send(sim.nodes[random.IntN(len(sim.nodes))], 1)
 }
 
-// asked is a caller's request with its attempts.
-type asked struct {
-	s        *simulation
-	class    *Class
-	first    time.Duration
-	deadline time.Duration
-	refused  bool
+// clientRequest is a request of a client, the original caller, with its one retry.
+type clientRequest struct {
+	sim       *simulation
+	class     *Class
+	firstSent time.Duration
+	deadline  time.Duration
+	refused   bool
 }
 
 const (
-	// retryAfterParts bounds how long a caller waits as told, to that part of the
-	// time it has left.
-	retryAfterParts = 3
-	// hastyWait is what a caller waits that was told nothing.
-	hastyWait = 50 * time.Millisecond
+	// retryWaitDivisor bounds the wait before a retry, to the time left until the
+	// deadline divided by it.
+	retryWaitDivisor = 3
+	// defaultRetryWait is the wait before a retry if the response did not specify one.
+	defaultRetryWait = 50 * time.Millisecond
 )
 
-func (r *asked) send(from *node, retries int) {
+func (r *clientRequest) send(from *node, retriesLeft int) {
 	var c *call
-	c = r.s.begin(from, r.class, r.deadline, func(end outcome) {
-		wait := hastyWait
+	c = r.sim.startCall(from, r.class, r.deadline, func(end callOutcome) {
+		wait := defaultRetryWait
 		if c != nil && c.retryAfter > 0 {
 			wait = c.retryAfter
 		}
-		left := r.deadline - r.s.now()
-		again := end == notRun || end == failed && r.class.Idempotent
-		if end == answered || !again || retries == 0 || left <= 0 {
-			r.s.result.ended(r, end)
+		left := r.deadline - r.sim.now()
+		retryable := end == callNotRun || end == callFailed && r.class.Idempotent
+		if end == callAnswered || !retryable || retriesLeft == 0 || left <= 0 {
+			r.sim.result.recordOutcome(r, end)
 			return
 		}
-		r.refused = r.refused || end == notRun
-		r.s.clock.After(min(wait, left/retryAfterParts), func() { r.send(from, retries-1) })
+		r.refused = r.refused || end == callNotRun
+		r.sim.clock.After(min(wait, left/retryWaitDivisor), func() { r.send(from, retriesLeft-1) })
 	})
 }
 
-// strike begins an event and has it end.
-func (s *simulation) strike(e Event, random *rand.Rand) {
-	if e.Kind == burst {
-		s.load *= e.Factor
-		s.clock.After(e.For.Duration(), func() { s.load /= e.Factor })
+// startEvent starts an event and schedules its end.
+func (sim *simulation) startEvent(e Event, random *rand.Rand) {
+	if e.Kind == eventBurst {
+		sim.trafficFactor *= e.Factor
+		sim.clock.After(e.For.Duration(), func() { sim.trafficFactor /= e.Factor })
 		return
 	}
-	for _, n := range s.struck(e, random) {
-		if e.Kind == restart {
+	for _, n := range sim.drawNodes(e, random) {
+		if e.Kind == eventRestart {
 			n.crash(e.For.Duration())
 			continue
 		}
-		n.strike(e)
-		s.clock.After(e.For.Duration(), func() { n.recover(e) })
+		n.applyEvent(e)
+		sim.clock.After(e.For.Duration(), func() { n.endEvent(e) })
 	}
 }
 
-// struck draws the endpoints that an event strikes, one at least.
-func (s *simulation) struck(e Event, random *rand.Rand) []*node {
+// drawNodes draws the nodes that an event affects, at least one.
+func (sim *simulation) drawNodes(e Event, random *rand.Rand) []*node {
 	var list []*node
-	for _, n := range s.nodes {
+	for _, n := range sim.nodes {
 		if e.Service == "" || n.service.Name == e.Service {
 			list = append(list, n)
 		}
@@ -191,53 +193,54 @@
 	return list[:max(1, min(len(list), int(e.Share*float64(len(list))+0.5)))]
 }
 
-func (n *node) strike(e Event) {
+func (n *node) applyEvent(e Event) {
 	switch e.Kind {
-	case slow:
-		n.server.change(func() { n.server.slowness = e.Factor })
-	case cold:
-		n.server.change(func() { n.server.slowness = e.Factor })
-		n.gate.SetCold(n.s.now(), e.For.Duration())
-	case reject:
-		n.server.rejects = e.Factor
-	case stop:
-		n.carryOut(n.gate.SetDraining(n.s.now(), true))
+	case eventSlow:
+		n.server.update(func() { n.server.slowness = e.Factor })
+	case eventCold:
+		n.server.update(func() { n.server.slowness = e.Factor })
+		n.gate.SetCold(n.sim.now(), e.For.Duration())
+	case eventReject:
+		n.server.rejectShare = e.Factor
+	case eventStop:
+		n.handleEvents(n.gate.SetDraining(n.sim.now(), true))
 	}
 }
 
-func (n *node) recover(e Event) {
+func (n *node) endEvent(e Event) {
 	switch e.Kind {
-	case slow, cold:
-		n.server.change(func() { n.server.slowness = 1 })
-	case reject:
-		n.server.rejects = 0
-	case stop:
-		n.carryOut(n.gate.SetDraining(n.s.now(), false))
-		n.s.readmit(n)
+	case eventSlow, eventCold:
+		n.server.update(func() { n.server.slowness = 1 })
+	case eventReject:
+		n.server.rejectShare = 0
+	case eventStop:
+		n.handleEvents(n.gate.SetDraining(n.sim.now(), false))
+		n.sim.clearDraining(n)
 	}
 }
 
-// readmit tells all callers that a host is back.
-func (s *simulation) readmit(back *node) {
-	for _, n := range s.nodes {
+// clearDraining tells all callers that a returned host no longer drains.
+func (sim *simulation) clearDraining(returned *node) {
+	for _, n := range sim.nodes {
 		for i := range n.pools {
-			if c := n.pools[i].Get(back.host); c != nil {
+			if c := n.pools[i].Get(returned.host); c != nil {
 				c.Draining = false
 			}
 		}
 	}
 }
 
-// best knows every server's speed and what waits at its gate.
-func (s *simulation) best(c *call) *balancer.Candidate {
+// bestServer returns the endpoint that would finish the call first. It uses state that
+// no caller has: every server's slowdown and the number of requests at its gate.
+func (sim *simulation) bestServer(c *call) *balancer.Candidate {
 	var best *node
 	var soonest float64
-	for _, n := range s.nodes {
+	for _, n := range sim.nodes {
 		if n.service.Name != c.class.Service {
 			continue
 		}
-		ahead := float64(len(n.requests)) / float64(n.service.Slots)
-		finish := float64(c.class.Work) * n.server.told() * max(1, ahead+1)
+		occupancy := float64(len(n.requests)) / float64(n.service.Slots)
+		finish := float64(c.class.Work) * n.server.slowdown() * max(1, occupancy+1)
 		if best == nil || finish < soonest {
 			best, soonest = n, finish
 		}
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -1,12 +1,12 @@
-// Package emulator runs several services that call each other, on hosts that
-// they share with noisy neighbours, through the very decision code that runs in
-// the nodes (core/balancer, core/gate, core/retry), in virtual time. The same
-// scenario and seed give the same figures.
+// Package emulator simulates several services that call each other, on hosts with
+// noisy neighbours, in virtual time and with the same decision code that runs in
+// the nodes (core/balancer, core/gate, core/retry). The same scenario and seed give
+// the same figures.
 //
-// It differs from package replay, which replays one service to the microsecond:
-// here a request holds its slot while it calls other services, backend servers
-// tell how slow they are, slow down in a crowd, start cold and reject, and
-// callers come back once. docs/emulator.md describes scenarios.
+// Package replay simulates a single service to the microsecond. Here, a request
+// holds its slot while it calls other services; backend servers report how slow
+// they are, slow down under load, start cold and reject requests; and clients
+// retry once. docs/emulator.md describes scenarios.
 package emulator
 
 import (
@@ -20,30 +20,30 @@
 // Millis is a time in a scenario, in milliseconds.
 type Millis float64
 
-// Duration converts to a duration.
+// Duration converts m to a time.Duration.
 func (m Millis) Duration() time.Duration {
 	return time.Duration(float64(m) * float64(time.Millisecond))
 }
 
-// Scenario describes services, what is asked of them, and what goes wrong.
+// Scenario describes services, the requests to them, and the faults that occur.
 type Scenario struct {
 	Name string `json:"name"`
-	// DataCenters is over how many the endpoints of each service are spread. Near
-	// and Far are the one-way delays inside one and between two.
+	// DataCenters is the number of data centres that the endpoints of each service are
+	// spread over. Near and Far are the one-way delays within one and between two.
 	DataCenters int    `json:"dataCenters"`
 	Near        Millis `json:"near"`
 	Far         Millis `json:"far"`
 	Duration    Millis `json:"duration"`
-	// Retry bounds second attempts of all nodes together.
-	Retry    Retry     `json:"retry"`
-	Services []Service `json:"services"`
-	Classes  []Class   `json:"classes"`
-	Events   []Event   `json:"events"`
-	Expect   []Expect  `json:"expect"`
+	// RetryBudget bounds the retries and hedges of all nodes together.
+	RetryBudget RetryBudget `json:"retry"`
+	Services    []Service   `json:"services"`
+	Classes     []Class     `json:"classes"`
+	Events      []Event     `json:"events"`
+	Expect      []Expect    `json:"expect"`
 }
 
-// Retry is the shared budget of second attempts.
-type Retry struct {
+// RetryBudget is the retry budget that the nodes share.
+type RetryBudget struct {
 	Ratio  float64 `json:"ratio"`
 	Slack  float64 `json:"slack"`
 	Window Millis  `json:"window"`
@@ -55,38 +55,39 @@
 	Endpoints int    `json:"endpoints"`
 	Slots     int    `json:"slots"`
 	Queue     int    `json:"queue"`
-	// Crowd is the share of the slots above which work takes CrowdFactor times as
-	// long; 0 for none.
+	// Crowd is the share of slots in use above which work takes CrowdFactor times as
+	// long; 0 turns the slowdown off.
 	Crowd       float64 `json:"crowd"`
 	CrowdFactor float64 `json:"crowdFactor"`
 	Noise       Noise   `json:"noise"`
-	// KeepsPace: a request keeps the slowness of its start to its end. Otherwise all
-	// that runs follows the slowness as it changes.
+	// KeepsPace makes a request keep the slowdown of its start until its end. Otherwise
+	// running requests follow the slowdown as it changes.
 	KeepsPace bool `json:"keepsPace"`
-	// ReportsPerSecond is the measuring budget of the whole service.
+	// ReportsPerSecond is the budget for load reports of the whole service.
 	ReportsPerSecond int `json:"reportsPerSecond"`
-	// Cold is how servers behave after a restart.
-	Cold Cold `json:"cold"`
+	// ColdStart describes how servers behave after a restart.
+	ColdStart ColdStart `json:"cold"`
 }
 
-// Noise is what neighbours on the host take: in each interval, work takes Factor
-// times as long with the probability Share.
+// Noise is the interference of neighbours on the host: in each interval of length Every,
+// work takes Factor times as long with probability Share.
 type Noise struct {
 	Share  float64 `json:"share"`
 	Factor float64 `json:"factor"`
 	Every  Millis  `json:"every"`
 }
 
-// Class is one kind of request.
+// Class is a class of requests.
 type Class struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
-	// PerSecond is the rate of all callers; 0 for one that only backend servers make.
+	// PerSecond is the rate over all callers; 0 for a class that only backend servers call.
 	PerSecond float64 `json:"perSecond"`
-	// Work is the mean time at the usual speed; it varies by Spread, lognormally.
+	// Work is the mean service time at normal speed. Service times are lognormal, and
+	// Spread is the standard deviation of their logarithm.
 	Work   Millis  `json:"work"`
 	Spread float64 `json:"spread"`
-	// Aim is within which time an answer has its full Value, afterwards LateValue.
+	// Aim is the latency up to which an answer earns Value; a later one earns LateValue.
 	Aim        Millis  `json:"aim"`
 	Timeout    Millis  `json:"timeout"`
 	Value      float64 `json:"value"`
@@ -94,33 +95,33 @@
 	Priority   int     `json:"priority"`
 	Idempotent bool    `json:"idempotent"`
 	Bulky      bool    `json:"bulky"`
-	// MaxAttempts is how many backend servers a request may reach.
+	// MaxAttempts is the number of backend servers that a request may reach.
 	MaxAttempts int `json:"maxAttempts"`
-	// Calls are made in the middle of the work, by CallShare of the requests, one
-	// after the other or all Together.
+	// Calls lists the classes that a share CallShare of the requests call, halfway through
+	// their work, either one after the other or all Together.
 	Calls     []string `json:"calls"`
 	CallShare float64  `json:"callShare"`
 	Together  bool     `json:"together"`
 }
 
-// Event is something that happens for a while.
+// Event is a temporary change in traffic or in the behaviour of backend servers.
 type Event struct {
 	// Kind is one of burst, slow, cold (slow, and announced as a cold start), reject,
-	// stop and restart (the servers end, and are back and cold after For).
+	// stop and restart (the servers end, and start again cold after For).
 	Kind string `json:"kind"`
 	At   Millis `json:"at"`
 	For  Millis `json:"for"`
-	// Service is whose endpoints it strikes, those of all services if it is empty, and
-	// Share how many of them.
+	// Service is the service whose endpoints are affected, or empty for all services, and
+	// Share is the share of these endpoints.
 	Service string  `json:"service"`
 	Share   float64 `json:"share"`
-	// Factor is by how much traffic grows or work slows down, or which part of the
-	// requests is rejected.
+	// Factor is the factor by which traffic grows or work slows down, or the share of
+	// requests that is rejected.
 	Factor float64 `json:"factor"`
 }
 
-// Expect is one stated outcome of a policy: a metric in itself or over that of
-// another policy.
+// Expect bounds a metric of a policy, either the value itself or its ratio to the value
+// of another policy.
 type Expect struct {
 	Policy  string   `json:"policy"`
 	Metric  string   `json:"metric"`
@@ -131,16 +132,16 @@
 
 // Kinds of events.
 const (
-	burst  = "burst"
-	slow   = "slow"
-	cold   = "cold"
-	reject = "reject"
-	stop   = "stop"
-	// restart is a loss of power of the backend servers.
-	restart = "restart"
+	eventBurst  = "burst"
+	eventSlow   = "slow"
+	eventCold   = "cold"
+	eventReject = "reject"
+	eventStop   = "stop"
+	// eventRestart is a power loss of the backend servers.
+	eventRestart = "restart"
 )
 
-// Read reads a scenario and checks it.
+// Read parses and validates a scenario.
 func Read(in io.Reader) (*Scenario, error) {
 	s := &Scenario{}
 	d := json.NewDecoder(in)
@@ -148,50 +149,50 @@
 	if err := d.Decode(s); err != nil {
 		return nil, errors.Wrap(err, "not a scenario (see docs/emulator.md)")
 	}
-	return s, s.check()
+	return s, s.validate()
 }
 
-func (s *Scenario) check() error {
+func (s *Scenario) validate() error {
 	if s.DataCenters < 1 || s.Duration <= 0 || len(s.Services) == 0 || len(s.Classes) == 0 {
 		return errors.New("a scenario needs dataCenters and a duration above 0, services and classes")
 	}
 	for _, c := range s.Classes {
-		if s.service(c.Service) < 0 {
-			return errors.Newf("class %q names the service %q, which the scenario does not have", c.Name, c.Service)
+		if s.serviceIndex(c.Service) < 0 {
+			return errors.Newf("class %q names the service %q, which the scenario does not define", c.Name, c.Service)
 		}
 		if c.Timeout <= 0 || c.Work <= 0 {
 			return errors.Newf("class %q needs work and a timeout above 0", c.Name)
 		}
 		for _, called := range c.Calls {
 			if s.class(called) == nil {
-				return errors.Newf("class %q calls %q, which is no class of the scenario", c.Name, called)
+				return errors.Newf("class %q calls %q, which the scenario does not define as a class", c.Name, called)
 			}
 		}
 	}
 	for i, e := range s.Events {
-		if err := s.checkEvent(e); err != nil {
+		if err := s.validateEvent(e); err != nil {
 			return errors.Wrapf(err, "event %d", i+1)
 		}
 	}
 	return nil
 }
 
-func (s *Scenario) checkEvent(e Event) error {
+func (s *Scenario) validateEvent(e Event) error {
 	switch e.Kind {
-	case burst:
+	case eventBurst:
 		return nil
-	case slow, cold, reject, stop, restart:
+	case eventSlow, eventCold, eventReject, eventStop, eventRestart:
 	default:
-		return errors.Newf("its kind is %q; use burst, slow, cold, reject, stop or restart", e.Kind)
+		return errors.Newf("unknown kind %q; use burst, slow, cold, reject, stop or restart", e.Kind)
 	}
-	if e.Service != "" && s.service(e.Service) < 0 {
-		return errors.Newf("it names the service %q, which the scenario does not have", e.Service)
+	if e.Service != "" && s.serviceIndex(e.Service) < 0 {
+		return errors.Newf("it names the service %q, which the scenario does not define", e.Service)
 	}
 	return nil
 }
 
-// service is the place of a service in the list, or -1.
-func (s *Scenario) service(name string) int {
+// serviceIndex returns the index of a service, or -1.
+func (s *Scenario) serviceIndex(name string) int {
 	for i := range s.Services {
 		if s.Services[i].Name == name {
 			return i
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -6,109 +6,112 @@
 	"cactuspath/internal/virtual"
 )
 
-// server is a backend server: slots that work at a common speed. A request that
-// waits for calls of its own holds its slot and does no work.
+// server models a backend server: its running requests all proceed at the same speed. A
+// request that waits for calls of its own holds its slot and makes no progress.
 type server struct {
 	slots int
-	// crowdShare of the slots taken makes work take crowdFactor times as long.
+	// Above the share crowdShare of slots in use, work takes crowdFactor times as long.
 	crowdShare, crowdFactor float64
-	// noise and slowness are the factors that the server tells of.
+	// noise and slowness are the factors of the slowdown that the server reports.
 	noise, slowness float64
 	keepsPace       bool
-	rejects         float64
-	work            *virtual.Jobs[*job]
-	taken           int
+	rejectShare     float64
+	jobs            *virtual.Jobs[*job]
+	slotsInUse      int
 }
 
 func newServer(clock *virtual.Clock, service *Service) *server {
 	s := &server{slots: service.Slots, crowdShare: service.Crowd, crowdFactor: service.CrowdFactor, noise: 1, slowness: 1, keepsPace: service.KeepsPace}
-	s.work = virtual.NewJobs(clock, s.speed, s.part)
+	s.jobs = virtual.NewJobs(clock, s.speed, s.finishPart)
 	return s
 }
 
-// job is one request at a server. Its work comes in parts, with calls between.
+// job is one request at a server. Its work has parts, with calls to other services in
+// between.
 type job struct {
 	parts []time.Duration
-	// pace is how many times longer each part takes, at a server that keeps the pace
-	// of a request's start.
-	pace    float64
-	between func(ended func(ok bool))
-	over    bool
-	done    func(ok bool)
+	// slowdown is the factor by which each part takes longer, at a server where requests
+	// keep the slowdown of their start.
+	slowdown  float64
+	makeCalls func(called func(ok bool))
+	ended     bool
+	done      func(ok bool)
 }
 
-func (s *server) told() float64 { return s.noise * s.slowness }
+// slowdown returns the factor that the server reports to its node.
+func (s *server) slowdown() float64 { return s.noise * s.slowness }
 
 func (s *server) speed() float64 {
 	speed := 1.0
 	if !s.keepsPace {
-		speed /= s.told()
+		speed /= s.slowdown()
 	}
-	if s.crowdShare > 0 && float64(s.taken) > s.crowdShare*float64(s.slots) {
+	if s.crowdShare > 0 && float64(s.slotsInUse) > s.crowdShare*float64(s.slots) {
 		speed /= s.crowdFactor
 	}
 	return speed
 }
 
-// change lets time pass at the old speed, changes what decides the speed, and
-// plans anew.
-func (s *server) change(what func()) {
-	s.work.Advance()
-	what()
-	s.work.Reschedule()
+// update accounts for the time up to now at the old speed, applies a change that may
+// affect the speed, and reschedules the next completion.
+func (s *server) update(change func()) {
+	s.jobs.Advance()
+	change()
+	s.jobs.Reschedule()
 }
 
 func (s *server) start(j *job) {
-	j.pace = 1
+	j.slowdown = 1
 	if s.keepsPace {
-		j.pace = s.told()
+		j.slowdown = s.slowdown()
 	}
-	s.change(func() {
-		s.taken++
-		s.enter(j)
+	s.update(func() {
+		s.slotsInUse++
+		s.startPart(j)
 	})
 }
 
-// enter begins the next part of a job's work.
-func (s *server) enter(j *job) {
-	s.work.Add(j, time.Duration(j.pace*float64(j.parts[0])))
+// startPart starts the next part of a job.
+func (s *server) startPart(j *job) {
+	s.jobs.Add(j, time.Duration(j.slowdown*float64(j.parts[0])))
 	j.parts = j.parts[1:]
 }
 
-// leave ends a job, whatever it is at.
-func (s *server) leave(j *job) {
-	if j.over {
+// remove ends a job at any stage and frees its slot.
+func (s *server) remove(j *job) {
+	if j.ended {
 		return
 	}
-	s.change(func() {
-		j.over = true
-		s.work.Remove(j)
-		s.taken--
+	s.update(func() {
+		j.ended = true
+		s.jobs.Remove(j)
+		s.slotsInUse--
 	})
 }
 
-func (s *server) end(j *job, ok bool) {
-	if j.over {
+func (s *server) finish(j *job, ok bool) {
+	if j.ended {
 		return
 	}
-	s.leave(j)
+	s.remove(j)
 	j.done(ok)
 }
 
-// part ends one part of a job's work: the calls between follow, or its end.
-func (s *server) part(j *job) {
+// finishPart ends one part of a job; the calls before the next part follow, or the end of
+// the job.
+func (s *server) finishPart(j *job) {
 	if len(j.parts) == 0 {
-		s.end(j, true)
+		s.finish(j, true)
 		return
 	}
-	s.change(func() { s.work.Remove(j) })
-	j.between(func(ok bool) {
+	s.update(func() { s.jobs.Remove(j) })
+	j.makeCalls(func(ok bool) {
 		switch {
-		case j.over:
+		case j.ended:
 		case !ok:
-			s.end(j, false)
+			s.finish(j, false)
 		default:
-			s.change(func() { s.enter(j) })
+			s.update(func() { s.startPart(j) })
 		}
 	})
 }
--- a/internal/emulator/variants.go
+++ b/internal/emulator/variants.go
@@ -13,23 +13,23 @@
 	"cactuspath/core/mechanism"
 )
 
-// Variant is one way to decide that a scenario is run with.
+// Variant is a configuration of the decision code that a scenario can be run with.
 type Variant struct {
 	Name string
-	// Build makes a caller's policy.
+	// Build returns the balancing policy of one caller.
 	Build func(*rand.Rand) balancer.Policy
-	// Siblings lets the gates act together.
+	// Siblings makes the gates exchange load reports and move requests to each other.
 	Siblings bool
-	// Omniscient picks by the servers' true state.
+	// Omniscient picks servers by their actual state instead of the policy.
 	Omniscient bool
-	// Off are the mechanisms that are switched off.
+	// Off is the set of disabled mechanisms.
 	Off mechanism.Set
 }
 
-// Chosen is the variant that the nodes run.
+// Chosen is the name of the variant that the nodes run.
 const Chosen = "cactus"
 
-// Without is what the nodes run with some mechanisms switched off.
+// Without returns the variant that the nodes run, with some mechanisms disabled.
 func Without(off mechanism.Set) Variant {
 	name := Chosen
 	for _, n := range off.Names() {
@@ -50,7 +50,7 @@
 	}
 }
 
-// Find returns the variant with the name.
+// Find returns the variant with the given name.
 func Find(name string) (Variant, error) {
 	for _, v := range Variants() {
 		if v.Name == name {
