--- a/internal/capacity/data.go
+++ b/internal/capacity/data.go
@@ -1,5 +1,5 @@
-// Package capacity works the target's size out from measured slopes and renders
-// the tables of docs/CAPACITY.md, so that the page cannot differ from the data.
+// Package capacity extrapolates measurements to the size of the target deployment and
+// renders the tables of docs/CAPACITY.md, so that the page cannot differ from the data.
 package capacity
 
 import (
@@ -12,7 +12,7 @@
 	"cactuspath/internal/loadgen"
 )
 
-// Slopes are the measurements of state machines in one process.
+// Slopes holds the measurements of state machines within one process, at several sizes.
 type Slopes struct {
 	Date      string           `json:"date"`
 	Cores     int              `json:"cores"`
@@ -27,7 +27,7 @@
 	Recovery  []RecoverySlope  `json:"recovery"`
 }
 
-// DirectorySlope is a relay that holds Entries.
+// DirectorySlope is the cost of a relay that holds Entries.
 type DirectorySlope struct {
 	Entries           int     `json:"entries"`
 	HeapMB            float64 `json:"heapMB"`
@@ -36,7 +36,8 @@
 	SubscriptionBytes int     `json:"subscriptionBytes"`
 }
 
-// ReconcileSlope is the cost of bringing two relays together.
+// ReconcileSlope is the number of bytes to reconcile two relays that differ in Differ of
+// their Entries.
 type ReconcileSlope struct {
 	Entries       int `json:"entries"`
 	Differ        int `json:"differ"`
@@ -45,7 +46,7 @@
 	CursorBytes   int `json:"cursorBytes"`
 }
 
-// RejoinSlope is a node that missed changes.
+// RejoinSlope is the cost of bringing a node up to date that missed Missed changes.
 type RejoinSlope struct {
 	Services    int     `json:"services"`
 	Missed      int     `json:"missed"`
@@ -56,7 +57,7 @@
 	DeltaMicros float64 `json:"deltaMicros"`
 }
 
-// EstateSlope is one institution's text of Services.
+// EstateSlope is the cost of one institution's configuration text with Services.
 type EstateSlope struct {
 	Services      int     `json:"services"`
 	TextBytes     int     `json:"textBytes"`
@@ -66,13 +67,13 @@
 	SnapshotBytes int     `json:"snapshotBytes"`
 }
 
-// PickerSlope is the cost of one pick among Candidates.
+// PickerSlope is the time of one pick among Candidates.
 type PickerSlope struct {
 	Candidates int     `json:"candidates"`
 	Nanos      float64 `json:"nanos"`
 }
 
-// SubmitSlope is the rate of changes on one replica.
+// SubmitSlope is the rate of changes that one control replica accepts from Workers.
 type SubmitSlope struct {
 	Workers        int     `json:"workers"`
 	PerSecond      float64 `json:"perSecond"`
@@ -80,51 +81,51 @@
 	SyncMicros     float64 `json:"syncMicros"`
 }
 
-// RecoverySlope is the restart of a replica.
+// RecoverySlope is the restart time of a control replica with Entries in its log.
 type RecoverySlope struct {
 	Entries  int     `json:"entries"`
 	LogBytes int64   `json:"logBytes"`
 	Millis   float64 `json:"millis"`
 }
 
-// ScaleRun is what control of one data centre of node processes cost, without
-// calls, and how long news took.
+// ScaleRun is the cost of the control traffic in one data centre of node processes
+// without calls, and the time until changes and failures are known.
 type ScaleRun struct {
 	Nodes int `json:"nodes"`
-	// Per node that is no relay.
+	// Per node that is not a relay.
 	NodeBytes    float64 `json:"nodeBytesPerSecond"`
 	NodeMessages float64 `json:"nodeMessagesPerSecond"`
 	NodeCPU      float64 `json:"nodeCorePercent"`
 	NodeMB       float64 `json:"nodeResidentMB"`
-	// Per relay, the heartbeats that it serves included.
+	// Per relay, including the heartbeats that it serves, and for the leader.
 	Relays    int     `json:"relays"`
 	RelayCPU  float64 `json:"relayCorePercent"`
 	RelayMB   float64 `json:"relayResidentMB"`
 	LeaderCPU float64 `json:"leaderCorePercent"`
 	LeaderMB  float64 `json:"leaderResidentMB"`
-	// From accepted to in force, over all nodes and changes.
+	// From the acceptance of a change until it is in force, over all nodes and changes.
 	ForceP50 float64 `json:"inForceP50ms"`
 	ForceP99 float64 `json:"inForceP99ms"`
 	ForceMax float64 `json:"inForceMaxms"`
-	// From a kill until every other node of the service dropped it.
+	// From a kill until every other node of the service has dropped the endpoint.
 	NoticeMax   float64 `json:"killNoticedMaxms"`
 	FalseAlarms float64 `json:"falseAlarms"`
 	FalseFailed float64 `json:"falselyFailed"`
 }
 
-// PathRun is the latency of the path at one rate: asked directly, through one
-// node and through two.
+// PathRun is the latency of requests at one rate: direct, through one node and through
+// two nodes.
 type PathRun struct {
 	Rate     float64          `json:"ratePerTarget"`
 	Results  []loadgen.Result `json:"results"`
 	AddedP50 int64            `json:"twoNodesAddedP50us"`
 	AddedP99 int64            `json:"twoNodesAddedP99us"`
-	// Bare is what two processes add that only pass bytes on.
+	// BareP50 and BareP99 are the latencies added by two processes that only relay bytes.
 	BareP50 int64 `json:"twoBareRelaysAddedP50us"`
 	BareP99 int64 `json:"twoBareRelaysAddedP99us"`
 }
 
-// Run is a measurement with where it came from.
+// Run is a measurement with its provenance.
 type Run[T any] struct {
 	What    string `json:"what"`
 	Command string `json:"command"`
@@ -133,20 +134,20 @@
 	Data    []T    `json:"data"`
 }
 
-// Data is everything the page rests on.
+// Data holds all measurements that the page is rendered from.
 type Data struct {
 	Slopes Slopes
 	Scale  Run[ScaleRun]
 	Path   Run[PathRun]
 }
 
-// Load reads the measurements from their folder.
+// Load reads the measurements from a folder.
 func Load(folder string) (*Data, error) {
 	d := &Data{}
 	for name, into := range map[string]any{"slopes.json": &d.Slopes, "scale.json": &d.Scale, "path.json": &d.Path} {
 		text, err := os.ReadFile(filepath.Join(folder, name))
 		if err != nil {
-			return nil, errors.Wrap(err, "read a measurement; take it again with its command in docs/CAPACITY.md")
+			return nil, errors.Wrap(err, "read a measurement; repeat it with its command in docs/CAPACITY.md")
 		}
 		if err := json.Unmarshal(text, into); err != nil {
 			return nil, errors.Wrapf(err, "%s", name)
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -2,18 +2,18 @@
 
 import "math"
 
-// Fit is a straight line through measured points.
+// Fit is a straight line fitted to measured points.
 type Fit struct {
 	N                int
 	Intercept, Slope float64
-	// Residual is the largest distance of a point from the line.
+	// Residual is the largest vertical distance of a point from the line.
 	Residual float64
 }
 
-// At is the line's value at x.
+// At returns the value of the line at x.
 func (f Fit) At(x float64) float64 { return f.Intercept + f.Slope*x }
 
-// FitLine fits by least squares.
+// FitLine fits a line by least squares.
 func FitLine(x, y []float64) Fit {
 	n := float64(len(x))
 	var sumX, sumY, sumXX, sumXY float64
@@ -34,8 +34,8 @@
 	return f
 }
 
-// fitOf fits two quantities of a list of measurements.
-func fitOf[T any](list []T, x, y func(T) float64) Fit {
+// fitMeasurements fits y over x, two quantities of each measurement in a list.
+func fitMeasurements[T any](list []T, x, y func(T) float64) Fit {
 	var xs, ys []float64
 	for _, m := range list {
 		xs = append(xs, x(m))
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -6,18 +6,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Update replaces the generated sections of the page, each between its markers
+// Update replaces the generated sections of the page. Each is enclosed by the markers
 // <!-- begin NAME --> and <!-- end NAME -->.
 func Update(page string, sections map[string]string) (string, error) {
 	for name, text := range sections {
 		begin, end := "<!-- begin "+name+" -->\n", "<!-- end "+name+" -->"
 		before, rest, ok := strings.Cut(page, begin)
 		if !ok {
-			return "", errors.Newf("the page has no section %s; add its markers", name)
+			return "", errors.Newf("the page has no section %s; add its begin and end markers", name)
 		}
 		_, after, ok := strings.Cut(rest, end)
 		if !ok {
-			return "", errors.Newf("section %s has no end; add its marker", name)
+			return "", errors.Newf("section %s has no end marker; add it", name)
 		}
 		page = before + begin + text + end + after
 	}
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -8,15 +8,15 @@
 	"gotest.tools/v3/assert"
 )
 
-var update = flag.Bool("render", false, "write the generated sections of docs/CAPACITY.md")
+var render = flag.Bool("render", false, "write the generated sections of docs/CAPACITY.md")
 
 const (
 	pageFile = "../../docs/CAPACITY.md"
 	folder   = "../../docs/measurements"
 )
 
-// The page's figures are worked out from the committed measurements. A page
-// that was edited by hand, or measurements taken anew without it, fail here.
+// Guards against a page that does not match the committed measurements, because it was
+// edited by hand or not rendered again after new measurements.
 func TestPageMatchesTheMeasurements(t *testing.T) {
 	data, err := Load(folder)
 	assert.NilError(t, err)
@@ -24,7 +24,7 @@
 	assert.NilError(t, err)
 	want, err := Update(string(page), Sections(data))
 	assert.NilError(t, err)
-	if *update {
+	if *render {
 		assert.NilError(t, os.WriteFile(pageFile, []byte(want), 0o644))
 		return
 	}
--- a/internal/capacity/plot_test.go
+++ b/internal/capacity/plot_test.go
@@ -12,29 +12,29 @@
 	"gotest.tools/v3/assert"
 )
 
-var plots = flag.Bool("plots", false, "redraw the plots in docs/measurements")
+var redrawPlots = flag.Bool("plots", false, "redraw the plots in docs/measurements")
 
 // TestPlots redraws the plots of the measured slopes.
 func TestPlots(t *testing.T) {
-	if !*plots {
+	if !*redrawPlots {
 		t.Skip("run with -plots")
 	}
 	data, err := Load(folder)
 	assert.NilError(t, err)
 	nodes := func(r ScaleRun) float64 { return float64(r.Nodes) }
-	draw(t, "bytes.png", "Control bytes of a node", "nodes of its data centre", "bytes a second", data, nodes, map[string]func(ScaleRun) float64{
+	drawPlot(t, "bytes.png", "Control bytes of a node", "nodes of its data centre", "bytes a second", data, nodes, map[string]func(ScaleRun) float64{
 		"node": func(r ScaleRun) float64 { return r.NodeBytes }})
-	draw(t, "processor.png", "Control processor time", "nodes of the data centre", "% of a core", data, nodes, map[string]func(ScaleRun) float64{
+	drawPlot(t, "processor.png", "Control processor time", "nodes of the data centre", "% of a core", data, nodes, map[string]func(ScaleRun) float64{
 		"node":   func(r ScaleRun) float64 { return r.NodeCPU },
 		"relay":  func(r ScaleRun) float64 { return r.RelayCPU },
 		"leader": func(r ScaleRun) float64 { return r.LeaderCPU }})
-	draw(t, "in-force.png", "From accepted to in force", "nodes of the data centre", "ms", data, nodes, map[string]func(ScaleRun) float64{
+	drawPlot(t, "in-force.png", "From accepted to in force", "nodes of the data centre", "ms", data, nodes, map[string]func(ScaleRun) float64{
 		"p50": func(r ScaleRun) float64 { return r.ForceP50 },
 		"p99": func(r ScaleRun) float64 { return r.ForceP99 },
 		"max": func(r ScaleRun) float64 { return r.ForceMax }})
 }
 
-func draw(t *testing.T, file, title, x, y string, data *Data, over func(ScaleRun) float64, series map[string]func(ScaleRun) float64) {
+func drawPlot(t *testing.T, file, title, x, y string, data *Data, over func(ScaleRun) float64, series map[string]func(ScaleRun) float64) {
 	t.Helper()
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
--- a/internal/capacity/slopes_test.go
+++ b/internal/capacity/slopes_test.go
@@ -32,17 +32,17 @@
 	"cactuspath/internal/wal"
 )
 
-var record = flag.String("record", "", "folder to write measurements to")
+var recordFolder = flag.String("record", "", "folder to write measurements to")
 
-const command = "go test ./internal/capacity -run '^$' -bench Slopes -benchtime 1x"
+const slopesCommand = "go test ./internal/capacity -run '^$' -bench Slopes -benchtime 1x"
 
-// BenchmarkSlopes measures the state machines in one process at several sizes,
-// the target's among them, where no transport matters.
+// BenchmarkSlopes measures the state machines within one process, without transport, at
+// several sizes that include the target's.
 //
 //	go test ./internal/capacity -run '^$' -bench Slopes -benchtime 1x -args -record ../../docs/measurements
 func BenchmarkSlopes(b *testing.B) {
 	for b.Loop() {
-		s := Slopes{Date: time.Now().UTC().Format(time.DateOnly), Cores: runtime.NumCPU(), Command: command}
+		s := Slopes{Date: time.Now().UTC().Format(time.DateOnly), Cores: runtime.NumCPU(), Command: slopesCommand}
 		for _, n := range []int{1000, 4400, 8800} {
 			s.Directory = append(s.Directory, measureDirectory(n))
 		}
@@ -68,12 +68,14 @@
 		text, err := json.MarshalIndent(s, "", "  ")
 		assert.NilError(b, err)
 		fmt.Println(string(text))
-		if *record != "" {
-			assert.NilError(b, os.WriteFile(filepath.Join(*record, "slopes.json"), append(text, '\n'), 0o644))
+		if *recordFolder != "" {
+			assert.NilError(b, os.WriteFile(filepath.Join(*recordFolder, "slopes.json"), append(text, '\n'), 0o644))
 		}
 	}
 }
 
+// heapMB returns the heap that the value built by build occupies, and the value, which
+// keeps it alive.
 func heapMB(build func() any) (mb float64, kept any) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -84,6 +86,7 @@
 	return float64(after.HeapAlloc-min(before.HeapAlloc, after.HeapAlloc)) / (1 << 20), kept
 }
 
+// micros returns the mean duration of f in microseconds.
 func micros(times int, f func()) float64 {
 	start := time.Now()
 	for range times {
@@ -92,19 +95,19 @@
 	return float64(time.Since(start).Nanoseconds()) / float64(times) / 1000
 }
 
-func entryOf(i int) *apiv1.Entry {
+func testEntry(i int) *apiv1.Entry {
 	return &apiv1.Entry{Host: fmt.Sprintf("host-%05d", i), DataCenter: fmt.Sprintf("dc-%02d", i%22), Region: fmt.Sprintf("region-%d", i%7), Service: fmt.Sprintf("service-%03d", i%990),
 		PeerAddress: fmt.Sprintf("10.%d.%d.%d:7070", i>>16, i>>8&255, i&255), Incarnation: 1764700000000, Sequence: 3,
 		State: apiv1.EndpointState_ENDPOINT_STATE_SERVING, Slots: 20, Relay: fmt.Sprintf("host-%05d", i/64*64), ChangedUnixMs: 1764700000000}
 }
 
-// relayWith is a relay that holds n entries and is reported to by 64 nodes.
-func relayWith(n int, epoch uint64) *directory.Relay {
+// testRelay returns a relay that holds n entries, pulled from a sibling relay.
+func testRelay(n int, epoch uint64) *directory.Relay {
 	r := directory.NewRelay(&apiv1.RelayInfo{Host: "relay", DataCenter: "dc-00"}, epoch, 0)
 	r.SetRelays([]*apiv1.RelayInfo{{Host: "sibling", DataCenter: "dc-00"}}, 0)
 	resp := &apiv1.ExchangeResponse{Cursor: &apiv1.Cursor{Epoch: 1}}
 	for i := range n {
-		e := entryOf(i)
+		e := testEntry(i)
 		e.Relay = "sibling"
 		resp.Entries = append(resp.Entries, e)
 	}
@@ -112,14 +115,16 @@
 	return r
 }
 
+// measureDirectory measures a relay that holds n entries and receives the heartbeats of 64
+// nodes.
 func measureDirectory(n int) DirectorySlope {
 	s := DirectorySlope{Entries: n}
 	var kept any
-	s.HeapMB, kept = heapMB(func() any { return relayWith(n, 1) })
+	s.HeapMB, kept = heapMB(func() any { return testRelay(n, 1) })
 	r := kept.(*directory.Relay)
 	const nodes = 64
 	for i := range nodes {
-		e := entryOf(i * 22)
+		e := testEntry(i * 22)
 		e.Relay, e.Sequence = "relay", 4
 		r.Heartbeat(0, &apiv1.NodeReport{Host: e.Host, Incarnation: e.Incarnation, Sequence: e.Sequence}, e)
 	}
@@ -128,7 +133,7 @@
 	i := 0
 	s.HeartbeatMicros = micros(20_000, func() {
 		i++
-		e := entryOf(i % nodes * 22)
+		e := testEntry(i % nodes * 22)
 		r.Heartbeat(0, &apiv1.NodeReport{Host: e.Host, Incarnation: e.Incarnation, Sequence: 4}, nil)
 		r.Entries(cursor, services, false)
 	})
@@ -137,7 +142,7 @@
 		now += 500 * time.Millisecond
 		r.Exchange(now, &apiv1.ExchangeRequest{FromHost: "sibling", FromDataCenter: "dc-00", Cursor: cursor})
 		for j := range nodes {
-			e := entryOf(j * 22)
+			e := testEntry(j * 22)
 			r.Heartbeat(now, &apiv1.NodeReport{Host: e.Host, Incarnation: e.Incarnation, Sequence: 4}, nil)
 		}
 		r.Tick(now)
@@ -150,7 +155,7 @@
 }
 
 func measureReconcile(n, differ int) ReconcileSlope {
-	full, part := relayWith(n, 1), directory.NewRelay(&apiv1.RelayInfo{Host: "other", DataCenter: "dc-00"}, 2, 0)
+	full, part := testRelay(n, 1), directory.NewRelay(&apiv1.RelayInfo{Host: "other", DataCenter: "dc-00"}, 2, 0)
 	part.SetRelays([]*apiv1.RelayInfo{{Host: "sibling", DataCenter: "dc-00"}}, 0)
 	resp := &apiv1.ExchangeResponse{Cursor: &apiv1.Cursor{Epoch: 1}}
 	random := rand.New(rand.NewPCG(1, 1))
@@ -160,32 +165,32 @@
 	}
 	for i := range n {
 		if !missing[i] {
-			resp.Entries = append(resp.Entries, entryOf(i))
+			resp.Entries = append(resp.Entries, testEntry(i))
 		}
 	}
 	part.Pulled(0, "sibling", resp)
 	digests := part.Table().Digests(directory.AllCenters)
-	ask := &apiv1.ExchangeRequest{FromHost: "other", FromDataCenter: "dc-00", Cursor: &apiv1.Cursor{Epoch: 99}, Digests: digests}
-	blind := &apiv1.ExchangeRequest{FromHost: "other", FromDataCenter: "dc-00", Cursor: &apiv1.Cursor{Epoch: 99}}
+	withDigests := &apiv1.ExchangeRequest{FromHost: "other", FromDataCenter: "dc-00", Cursor: &apiv1.Cursor{Epoch: 99}, Digests: digests}
+	withoutDigests := &apiv1.ExchangeRequest{FromHost: "other", FromDataCenter: "dc-00", Cursor: &apiv1.Cursor{Epoch: 99}}
 	changed := 0
 	for i := range missing {
-		changed += proto.Size(entryOf(i))
+		changed += proto.Size(testEntry(i))
 	}
-	return ReconcileSlope{Entries: n, Differ: differ, DigestBytes: proto.Size(ask) + proto.Size(full.Exchange(0, ask)), FullPushBytes: proto.Size(full.Exchange(0, blind)), CursorBytes: changed}
+	return ReconcileSlope{Entries: n, Differ: differ, DigestBytes: proto.Size(withDigests) + proto.Size(full.Exchange(0, withDigests)), FullPushBytes: proto.Size(full.Exchange(0, withoutDigests)), CursorBytes: changed}
 }
 
-func specOf(i, version int) *apiv1.ServiceSpec {
+func testSpec(i, version int) *apiv1.ServiceSpec {
 	return &apiv1.ServiceSpec{Hosts: []string{fmt.Sprintf("service-%03d.institution.example", i)}, DependsOn: []string{fmt.Sprintf("service-%03d", (i+1)%990), fmt.Sprintf("service-%03d", (i+7)%990)},
 		Slots: uint32(10 + version%10), Queue: 40, TimeoutMs: 2000, IdempotentMethods: []string{"GET", "HEAD"}, MaxAttempts: 3, RetryPerMille: 100,
 		Measure: &apiv1.MeasureBudget{ReportsPerSecond: 5000, BytesPerSecond: 800_000}, SlowStartMs: 2000}
 }
 
-// measureRejoin is a node with 5 needed services that missed changes of one
-// service each.
+// measureRejoin measures a node that needs 5 services and missed changes, each of them to
+// one service.
 func measureRejoin(services, missed int) RejoinSlope {
 	specs := map[string]*apiv1.ServiceSpec{}
 	for i := range services {
-		specs[fmt.Sprintf("service-%03d", i)] = specOf(i, 0)
+		specs[fmt.Sprintf("service-%03d", i)] = testSpec(i, 0)
 	}
 	source := rollout.NewRecords()
 	source.Replace("a", rollout.Contents{Services: specs}, 1)
@@ -195,7 +200,7 @@
 	node.Apply(first)
 	for v := range missed {
 		i := v * 7 % services
-		specs[fmt.Sprintf("service-%03d", i)] = specOf(i, v+1)
+		specs[fmt.Sprintf("service-%03d", i)] = testSpec(i, v+1)
 		source.Replace("a", rollout.Contents{Services: specs}, uint64(v+2))
 	}
 	delta := source.DeltaFor(1, needed, nil, "h")
@@ -210,7 +215,7 @@
 		DeltaMicros: micros(500, func() { source.DeltaFor(source.Revision(), needed, nil, "h") })}
 }
 
-func estateOf(services, version int) string {
+func testEstate(services, version int) string {
 	var b strings.Builder
 	b.WriteString("{\"institution\": \"a\", \"services\": {\n")
 	for i := range services {
@@ -225,7 +230,7 @@
 }
 
 func measureEstate(b *testing.B, services int) EstateSlope {
-	text := estateOf(services, 0)
+	text := testEstate(services, 0)
 	s := EstateSlope{Services: services, TextBytes: len(text), PackedBytes: len(estate.Gzip([]byte(text)))}
 	s.ParseMillis = micros(5, func() { estate.Parse([]byte(text)) }) / 1000
 	state := estate.NewState()
@@ -233,7 +238,7 @@
 	s.ApplyMillis = micros(1, func() {
 		for v := range changes {
 			change := &apiv1.Change{Id: fmt.Sprint(v), Operator: "mai", UnixMs: 1764700000000, Kind: &apiv1.Change_Submit{Submit: &apiv1.SubmitChange{
-				Institution: "a", BaseRevision: uint64(v), TextGzip: estate.Gzip([]byte(estateOf(services, v)))}}}
+				Institution: "a", BaseRevision: uint64(v), TextGzip: estate.Gzip([]byte(testEstate(services, v)))}}}
 			state.Apply(uint64(v+1), change)
 		}
 	}) / changes / 1000
@@ -270,7 +275,7 @@
 	}) * 1000
 }
 
-// startReplica runs one control replica in this process.
+// startReplica runs one control replica within this process.
 func startReplica(b *testing.B, folder string) (*operator.Client, *process.Process, func()) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
@@ -292,7 +297,7 @@
 	defer stop()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	_, err := client.Submit(ctx, []byte(estateOf(10, 0)), 0, "first")
+	_, err := client.Submit(ctx, []byte(testEstate(10, 0)), 0, "first")
 	assert.NilError(b, err)
 	const each = 150
 	syncs := p.Replica.Vars()["control_syncs"].String()
@@ -314,7 +319,7 @@
 	return SubmitSlope{Workers: workers, PerSecond: changes / took.Seconds(), SyncsPerChange: (after - before) / changes, SyncMicros: syncMicros(b)}
 }
 
-// syncMicros is what one small write and sync costs on this disk.
+// syncMicros returns the time of one small write and sync on this disk, in microseconds.
 func syncMicros(b *testing.B) float64 {
 	f, err := os.Create(filepath.Join(b.TempDir(), "sync"))
 	assert.NilError(b, err)
@@ -330,7 +335,7 @@
 	assert.NilError(b, wal.WriteIdentity(folder, wal.Identity{MemberID: 1, Name: "c", Founders: map[string]wal.Member{"c": {ID: 1, Address: "127.0.0.1:1"}}}))
 	log, _, _, err := wal.Open(folder)
 	assert.NilError(b, err)
-	packed := estate.Gzip([]byte(estateOf(10, 0)))
+	packed := estate.Gzip([]byte(testEstate(10, 0)))
 	for i := range entries {
 		change := &apiv1.Change{Id: fmt.Sprint(i), Kind: &apiv1.Change_Submit{Submit: &apiv1.SubmitChange{Institution: "a", BaseRevision: uint64(i), TextGzip: packed}}}
 		data, err := proto.Marshal(change)
