--- a/api/fault/fault.go
+++ b/api/fault/fault.go
@@ -1,9 +1,9 @@
-// Package fault names every kind of failure that crosses a process boundary,
-// so that callers and scripts can tell them apart without reading prose.
+// Package fault defines the kinds of failures that cross a process boundary, so that
+// callers and scripts can distinguish them without parsing messages.
 //
-// On the callers' side a fault is an HTTP answer with the header Cactus-Fault
-// and a JSON body; between our processes it is a connect error with the same
-// header. Messages name the remedy.
+// Callers receive a fault as an HTTP response with the header Cactus-Fault and a JSON
+// body. Between cactuspath processes, a fault is a Connect error with the same header.
+// Messages name the remedy.
 package fault
 
 import (
@@ -12,37 +12,42 @@
 	"connectrpc.com/connect"
 )
 
-// Kind is one kind of failure.
+// Kind identifies a kind of failure. Its value is the text that is sent.
 type Kind string
 
 // Kinds that a caller of a service may receive.
 const (
-	// NotRun: the request did not run at any backend server. Safe to repeat.
+	// NotRun means that the request did not run on any backend server. It is safe to
+	// repeat.
 	NotRun Kind = "not-run"
-	// Overloaded: not run, since every gate asked was full. Retry-After tells when to come back.
+	// Overloaded means that the request did not run because every gate that was tried was
+	// full. Retry-After says when to retry.
 	Overloaded Kind = "overloaded"
-	// OutcomeUnknown: the request may have run. Repeat only if it is idempotent.
+	// OutcomeUnknown means that the request may have run. Repeat it only if it is
+	// idempotent.
 	OutcomeUnknown Kind = "outcome-unknown"
-	// Interrupted: the answer ended early; the request ran at least in part.
+	// Interrupted means that the response ended early. The request ran at least in part.
 	Interrupted Kind = "interrupted"
-	// NoSuchService: no service claims this host and path. Not run.
+	// NoSuchService means that no service matches the host and path. The request did not
+	// run.
 	NoSuchService Kind = "no-such-service"
-	// NoEndpoint: the service has no endpoint that can be reached. Not run.
+	// NoEndpoint means that the service has no reachable endpoint. The request did not run.
 	NoEndpoint Kind = "no-endpoint"
-	// DeadlinePassed: the request could not have ended before its deadline. Not run.
+	// DeadlinePassed means that the request could not have finished before its deadline. It
+	// did not run.
 	DeadlinePassed Kind = "deadline-passed"
-	// Quarantined: backend servers have ended under requests with this content, so that no
-	// other one gets it for a while. Not run.
+	// Quarantined means that backend servers crashed while they ran requests with this
+	// content, so it is sent to no other one for a while. The request did not run.
 	Quarantined Kind = "quarantined"
-	// Malformed: the request is not acceptable HTTP. Not run.
+	// Malformed means that the request is not acceptable HTTP. It did not run.
 	Malformed Kind = "malformed"
-	// TooLarge: the body exceeds the service's limit.
+	// TooLarge means that the body exceeds the limit of the service.
 	TooLarge Kind = "too-large"
-	// NotReady: this node has no configuration yet. Not run.
+	// NotReady means that the node has no configuration yet. The request did not run.
 	NotReady Kind = "not-ready"
 )
 
-// Kinds between our processes and towards operators.
+// Kinds that are used between cactuspath processes and towards operators.
 const (
 	NotLeader     Kind = "not-leader"
 	Unknown       Kind = "unknown"
@@ -54,30 +59,31 @@
 )
 
 const (
-	// Header carries the kind, on answers to callers and on connect errors.
+	// Header carries the kind in responses to callers and in Connect errors.
 	Header = "Cactus-Fault"
-	// LeaderHeader carries the leader's address on a NotLeader error.
+	// LeaderHeader carries the leader's address in a NotLeader error.
 	LeaderHeader = "Cactus-Leader"
 )
 
-// Ran tells whether a request that ended with this kind may have run.
+// Ran reports whether a request that failed with this kind may have run.
 func (k Kind) Ran() bool { return k == OutcomeUnknown || k == Interrupted }
 
-// New returns a connect error of the kind.
+// New returns a Connect error of the given kind.
 func New(kind Kind, err error) *connect.Error {
-	e := connect.NewError(code(kind), err)
+	e := connect.NewError(connectCode(kind), err)
 	e.Meta().Set(Header, string(kind))
 	return e
 }
 
-// NotLeaderAt returns the error of a replica that is not the leader.
+// NotLeaderAt returns the error of a replica that is not the leader. The address is that
+// of the leader.
 func NotLeaderAt(address string) *connect.Error {
 	e := New(NotLeader, errors.New("this control replica is not the leader; ask the leader, or wait a second if there is none"))
 	e.Meta().Set(LeaderHeader, address)
 	return e
 }
 
-// Of returns the kind of an error that came over the wire, and the leader's
+// Of returns the kind of an error received from another process, and the leader's
 // address if it carries one. Errors without a kind are Unavailable.
 func Of(err error) (kind Kind, leader string) {
 	var e *connect.Error
@@ -90,7 +96,7 @@
 	return Unavailable, ""
 }
 
-func code(kind Kind) connect.Code {
+func connectCode(kind Kind) connect.Code {
 	switch kind {
 	case NotLeader, NotCaughtUp, ChangePending:
 		return connect.CodeFailedPrecondition
