--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -1,5 +1,5 @@
-// Package dev runs a whole small cluster in one process on loopback: one
-// control replica, nodes and stand-in backend servers.
+// Package dev runs a small cluster in one process on loopback: a control replica, nodes and
+// stand-in backend servers.
 package dev
 
 import (
@@ -22,11 +22,11 @@
 )
 
 const (
-	loopbackAny = "127.0.0.1:0"
-	stopTimeout = 10 * time.Second
+	loopbackAddress = "127.0.0.1:0"
+	stopTimeout     = 10 * time.Second
 )
 
-// Cluster is a running cluster.
+// Cluster is a running cluster with its nodes and backend servers.
 type Cluster struct {
 	Control  string
 	Operator *operator.Client
@@ -34,23 +34,23 @@
 	Servers  []*standin.Server
 
 	stopNode []context.CancelFunc
-	// ended is closed when a node's process has stopped.
-	ended  []chan struct{}
-	cancel context.CancelFunc
-	wait   sync.WaitGroup
-	mu     sync.Mutex
-	failed error
+	// stopped holds a channel for each node, closed when its process has stopped.
+	stopped []chan struct{}
+	cancel  context.CancelFunc
+	running sync.WaitGroup
+	mu      sync.Mutex
+	runErr  error
 }
 
-// devDataCenter is where all of the cluster is.
+// devDataCenter is the data centre of all hosts of the cluster.
 const devDataCenter = "dev-a"
 
-// Start starts a cluster of the given number of nodes, with a stand-in of the
-// service beside each. Folder holds the control replica's data.
+// Start starts a cluster with the given number of nodes, each with a stand-in backend server
+// of the service. The control replica stores its data in folder.
 func Start(folder string, nodes int, service string) (*Cluster, error) {
-	listener, err := net.Listen("tcp", loopbackAny)
+	listener, err := net.Listen("tcp", loopbackAddress)
 	if err != nil {
-		return nil, errors.Wrap(err, "find a free port on loopback")
+		return nil, errors.Wrap(err, "listen on a free loopback port")
 	}
 	address := listener.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -86,21 +86,21 @@
 	ctx, stop := context.WithCancel(ctx)
 	c.stopNode = append(c.stopNode, stop)
 	s := &settings.Settings{Host: fmt.Sprintf("host-%d", i+1), DataCenter: devDataCenter, Region: "dev", StopTimeout: stopTimeout, ControlReplicas: []string{c.Control},
-		Node: &settings.Node{Callers: loopbackAny, Peer: loopbackAny, PeerAddress: loopbackAny, Admin: loopbackAny}}
+		Node: &settings.Node{Callers: loopbackAddress, Peer: loopbackAddress, PeerAddress: loopbackAddress, Admin: loopbackAddress}}
 	if err := c.run(ctx, s, nil); err != nil {
 		return err
 	}
 	server := &standin.Server{Service: service, Node: c.Nodes[i].AdminAddress()}
-	if err := server.Listen(loopbackAny); err != nil {
+	if err := server.Listen(loopbackAddress); err != nil {
 		return err
 	}
 	c.Servers = append(c.Servers, server)
-	// The backend server outlives the drain of the node beside it, as it must
-	// wherever a planned stop is to cut nothing.
-	ended := c.ended[i]
+	// The backend server must run until its node has drained, or a planned stop would
+	// interrupt requests.
+	stopped := c.stopped[i]
 	serverContext, stopServer := context.WithCancel(context.Background())
-	c.wait.Go(func() { _ = server.Run(serverContext) })
-	c.wait.Go(func() { <-ended; stopServer() })
+	c.running.Go(func() { _ = server.Run(serverContext) })
+	c.running.Go(func() { <-stopped; stopServer() })
 	return nil
 }
 
@@ -112,38 +112,38 @@
 	if p.Node != nil {
 		c.Nodes = append(c.Nodes, p.Node)
 	}
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	if p.Node != nil {
-		c.ended = append(c.ended, ended)
+		c.stopped = append(c.stopped, stopped)
 	}
-	c.wait.Go(func() {
-		defer close(ended)
+	c.running.Go(func() {
+		defer close(stopped)
 		if err := p.Run(ctx); err != nil {
 			c.mu.Lock()
-			c.failed = errors.CombineErrors(c.failed, err)
+			c.runErr = errors.CombineErrors(c.runErr, err)
 			c.mu.Unlock()
 		}
 	})
 	return nil
 }
 
-// StopNode carries out a planned stop of one node and waits for its end.
+// StopNode performs a planned stop of one node and waits until its process has stopped.
 func (c *Cluster) StopNode(ctx context.Context, i int) error {
 	c.stopNode[i]()
 	select {
-	case <-c.ended[i]:
+	case <-c.stopped[i]:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Stop ends everything and returns what failed.
+// Stop stops all processes and returns their errors.
 func (c *Cluster) Stop() error {
 	for _, stop := range c.stopNode {
 		stop()
 	}
 	c.cancel()
-	c.wait.Wait()
-	return c.failed
+	c.running.Wait()
+	return c.runErr
 }
--- a/internal/dev/tour.go
+++ b/internal/dev/tour.go
@@ -26,34 +26,34 @@
 	tourHost    = "hello.example"
 )
 
-// tour runs the steps in order and tells each with its outcome.
+// tour runs the steps in order and prints the outcome of each.
 type tour struct {
-	c    *Cluster
-	out  io.Writer
-	text []byte
-	step int
-	// bad tells of the first request under load that was not answered 200.
-	bad string
+	c      *Cluster
+	out    io.Writer
+	estate []byte
+	step   int
+	// firstFailure describes the first request under load that was not answered with 200.
+	firstFailure string
 }
 
-func describe(answer *http.Response, err error) string {
+func describe(resp *http.Response, err error) string {
 	if err != nil {
 		return err.Error()
 	}
-	return fmt.Sprintf("%d %s", answer.StatusCode, answer.Header.Get(bodyHeader))
+	return fmt.Sprintf("%d %s", resp.StatusCode, resp.Header.Get(bodyHeader))
 }
 
-// Tour shows a cluster from its start to its end. It returns an error if any
-// step did not come out as it should.
-func Tour(out io.Writer, folder string, text []byte) error {
+// Tour demonstrates a cluster from its start to its stop with the given estate. It returns
+// an error if a step does not have the expected outcome.
+func Tour(out io.Writer, folder string, estate []byte) error {
 	c, err := Start(folder, tourNodes, tourService)
 	if err != nil {
 		return err
 	}
-	t := &tour{c: c, out: out, text: text}
+	t := &tour{c: c, out: out, estate: estate}
 	err = t.run()
 	if stopErr := c.Stop(); err == nil && stopErr != nil {
-		err = errors.Wrap(stopErr, "stop everything")
+		err = errors.Wrap(stopErr, "stop the cluster")
 	}
 	if err == nil {
 		fmt.Fprintln(out, "Tour done: every step came out as it should.")
@@ -67,16 +67,16 @@
 		do    func(context.Context) (string, error)
 	}{
 		{"Submit an estate", t.submit},
-		{"Send a request to each node", t.request},
-		{"Ask for a service that does not exist", t.unknown},
-		{"Submit a text with three faults", t.faults},
-		{"Submit on top of a revision that is not the newest", t.conflict},
-		{"Send the first change again, as after a lost answer", t.resend},
+		{"Send a request to each node", t.requestEachNode},
+		{"Ask for a service that does not exist", t.requestUnknownService},
+		{"Submit a text with three faults", t.submitInvalid},
+		{"Submit on top of a revision that is not the newest", t.submitConflict},
+		{"Send the first change again, as after a lost answer", t.resubmit},
 		{"Evacuate the only data centre, and take it back", t.evacuate},
-		{"Planned stop of host-1 under load", t.drain},
-		{"A backend server dies without a word", t.kill},
-		{"Stop the process of host-3 under load", t.stop},
-		{"Read the audit trail", t.audit},
+		{"Planned stop of host-1 under load", t.drainHost},
+		{"A backend server dies without a word", t.killServer},
+		{"Stop the process of host-3 under load", t.stopNode},
+		{"Read the audit trail", t.readAudit},
 	}
 	for _, s := range steps {
 		t.step++
@@ -95,15 +95,15 @@
 	return nil
 }
 
-const firstChange = "tour-first-change"
+const firstChangeID = "tour-first-change"
 
-// countPause is how long to wait before nodes that were counted twice are counted anew.
-const countPause = 50 * time.Millisecond
+// recountInterval is the time between two status queries while nodes are counted twice.
+const recountInterval = 50 * time.Millisecond
 
-// inForce waits until the revision is in force on the tour's nodes. A node that
-// changed its relay is reported by both until the former forgets it, so that
-// more are counted for a while than there are.
-func (t *tour) inForce(ctx context.Context, revision uint64) (*apiv1.StatusResponse, error) {
+// waitInForce waits until the revision is in force on all nodes. A node that changed its
+// relay is reported by both relays until the previous one forgets it, so that the node count
+// is too high for a while.
+func (t *tour) waitInForce(ctx context.Context, revision uint64) (*apiv1.StatusResponse, error) {
 	for {
 		s, err := t.c.Operator.WaitInForce(ctx, revision, tourNodes)
 		if err != nil || s.Nodes == tourNodes {
@@ -111,18 +111,18 @@
 		}
 		select {
 		case <-ctx.Done():
-			return s, errors.Wrapf(ctx.Err(), "%d nodes are counted, %d run", s.Nodes, tourNodes)
-		case <-time.After(countPause):
+			return s, errors.Wrapf(ctx.Err(), "status reports %d nodes, but %d are running", s.Nodes, tourNodes)
+		case <-time.After(recountInterval):
 		}
 	}
 }
 
 func (t *tour) submit(ctx context.Context) (string, error) {
-	record, err := t.c.Operator.Submit(ctx, t.text, 0, firstChange)
+	record, err := t.c.Operator.Submit(ctx, t.estate, 0, firstChangeID)
 	if err != nil {
 		return "", err
 	}
-	s, err := t.inForce(ctx, record.Revision)
+	s, err := t.waitInForce(ctx, record.Revision)
 	if err != nil {
 		return "", err
 	}
@@ -132,7 +132,7 @@
 	return fmt.Sprintf("accepted at revision %d, in force on %d of %d nodes", record.Revision, s.InForce, s.Nodes), nil
 }
 
-// waitServing waits until every node answers with all endpoints known.
+// waitServing waits until every node answers requests.
 func (t *tour) waitServing(ctx context.Context) error {
 	for ctx.Err() == nil {
 		ready := 0
@@ -146,12 +146,13 @@
 		}
 		time.Sleep(pollInterval)
 	}
-	return errors.New("the nodes do not answer")
+	return errors.New("not all nodes answer requests with 200")
 }
 
 const pollInterval = 50 * time.Millisecond
 
-func (t *tour) get(ctx context.Context, node int, path string) (status int, answer *http.Response, err error) {
+// get sends a request to a node. The body of the response is in its bodyHeader.
+func (t *tour) get(ctx context.Context, node int, path string) (status int, response *http.Response, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.c.Nodes[node].Address()+path, nil)
 	if err != nil {
 		return 0, nil, err
@@ -167,10 +168,10 @@
 	return resp.StatusCode, resp, err
 }
 
-// bodyHeader keeps an answer's body with the answer, for telling of it.
+// bodyHeader is set on a received response to its body, which is used in messages.
 const bodyHeader = "Tour-Body"
 
-func (t *tour) request(ctx context.Context) (string, error) {
+func (t *tour) requestEachNode(ctx context.Context) (string, error) {
 	for i := range t.c.Nodes {
 		status, _, err := t.get(ctx, i, "/greeting")
 		if err != nil || status != http.StatusOK {
@@ -180,7 +181,7 @@
 	return "answered 200 by all of 3", nil
 }
 
-func (t *tour) unknown(ctx context.Context) (string, error) {
+func (t *tour) requestUnknownService(ctx context.Context) (string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.c.Nodes[0].Address()+"/", nil)
 	if err != nil {
 		return "", err
@@ -198,95 +199,97 @@
 	return fmt.Sprintf("%d %s", resp.StatusCode, strings.TrimSpace(string(body))), nil
 }
 
-func (t *tour) faults(ctx context.Context) (string, error) {
+func (t *tour) submitInvalid(ctx context.Context) (string, error) {
 	text := `{"institution": "trial", "services": {"hello": {"slots": 0, "dependsOn": ["nobody"], "colour": "green"}}}`
 	_, err := t.c.Operator.Submit(ctx, []byte(text), 1, operator.NewChangeID())
-	return expect(err, operator.ExitRefused)
+	return expectExitCode(err, operator.ExitRefused)
 }
 
-func (t *tour) conflict(ctx context.Context) (string, error) {
-	_, err := t.c.Operator.Submit(ctx, t.text, 0, operator.NewChangeID())
-	return expect(err, operator.ExitConflict)
+func (t *tour) submitConflict(ctx context.Context) (string, error) {
+	_, err := t.c.Operator.Submit(ctx, t.estate, 0, operator.NewChangeID())
+	return expectExitCode(err, operator.ExitConflict)
 }
 
-func (t *tour) resend(ctx context.Context) (string, error) {
-	record, err := t.c.Operator.Submit(ctx, t.text, 0, firstChange)
+func (t *tour) resubmit(ctx context.Context) (string, error) {
+	record, err := t.c.Operator.Submit(ctx, t.estate, 0, firstChangeID)
 	if err != nil {
 		return "", err
 	}
 	return fmt.Sprintf("the first answer again: accepted at revision %d", record.Revision), nil
 }
 
-func expect(err error, code int) (string, error) {
+// expectExitCode returns an error unless err results in the given exit code of cactusctl.
+func expectExitCode(err error, code int) (string, error) {
 	if operator.ExitCode(err) != code {
 		return "", errors.Newf("exit code %d instead of %d: %v", operator.ExitCode(err), code, err)
 	}
 	return fmt.Sprintf("exit code %d, %v", code, err), nil
 }
 
-// underLoad sends requests all the while that do runs, and counts those that
-// were not answered 200.
-func (t *tour) underLoad(ctx context.Context, node int, do func() error) (answered, bad int64, err error) {
+// underLoad sends requests to a node while action runs. It counts the requests that were
+// answered with 200 and those that were not.
+func (t *tour) underLoad(ctx context.Context, node int, action func() error) (succeeded, failed int64, err error) {
 	ctx, cancel := context.WithCancel(ctx)
-	var ok, notOK atomic.Int64
-	var firstBad sync.Once
-	var wait sync.WaitGroup
+	var successes, failures atomic.Int64
+	var recordFirst sync.Once
+	var workers sync.WaitGroup
 	for range loadWorkers {
-		wait.Go(func() {
+		workers.Go(func() {
 			for ctx.Err() == nil {
-				status, answer, getErr := t.get(context.Background(), node, "/work?sleep=2ms")
+				status, resp, getErr := t.get(context.Background(), node, "/work?sleep=2ms")
 				if getErr == nil && status == http.StatusOK {
-					ok.Add(1)
+					successes.Add(1)
 					continue
 				}
-				notOK.Add(1)
-				firstBad.Do(func() { t.bad = describe(answer, getErr) })
+				failures.Add(1)
+				recordFirst.Do(func() { t.firstFailure = describe(resp, getErr) })
 			}
 		})
 	}
 	time.Sleep(pollInterval)
-	err = do()
+	err = action()
 	time.Sleep(pollInterval)
 	cancel()
-	wait.Wait()
-	return ok.Load(), notOK.Load(), err
+	workers.Wait()
+	return successes.Load(), failures.Load(), err
 }
 
 func (t *tour) evacuate(ctx context.Context) (string, error) {
-	if err := t.order(ctx, true); err != nil {
+	if err := t.setEvacuated(ctx, true); err != nil {
 		return "", err
 	}
-	begun := time.Now()
-	status, answer, err := t.get(ctx, 0, "/evacuated")
-	if err != nil || status != http.StatusServiceUnavailable || answer.Header.Get("Retry-After") == "" {
+	start := time.Now()
+	status, resp, err := t.get(ctx, 0, "/evacuated")
+	if err != nil || status != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
 		return "", errors.Newf("answered %d: %v", status, err)
 	}
-	if took := time.Since(begun); took > time.Second {
+	if took := time.Since(start); took > time.Second {
 		return "", errors.Newf("the refusal took %v", took)
 	}
-	if err := t.order(ctx, false); err != nil {
+	if err := t.setEvacuated(ctx, false); err != nil {
 		return "", err
 	}
 	for i := range t.c.Nodes {
-		if status, answer, err := t.get(ctx, i, "/back"); err != nil || status != http.StatusOK {
-			return "", errors.Newf("node %d answered %d (%s) after it: %v", i+1, status, answer.Header.Get(bodyHeader), err)
+		if status, resp, err := t.get(ctx, i, "/back"); err != nil || status != http.StatusOK {
+			return "", errors.Newf("node %d answered %d (%s) after the evacuation: %v", i+1, status, resp.Header.Get(bodyHeader), err)
 		}
 	}
-	return "while it is evacuated: 503 at once, not run, come back in " + answer.Header.Get("Retry-After") + " s\nafter it: answered 200 by all of 3", nil
+	return "while it is evacuated: 503 at once, not run, come back in " + resp.Header.Get("Retry-After") + " s\nafter it: answered 200 by all of 3", nil
 }
 
-// order evacuates the tour's data centre, or ends that, and waits until all nodes know.
-func (t *tour) order(ctx context.Context, evacuated bool) error {
+// setEvacuated evacuates the cluster's data centre or ends its evacuation, and waits until the
+// change is in force on all nodes.
+func (t *tour) setEvacuated(ctx context.Context, evacuated bool) error {
 	record, err := t.c.Operator.Evacuate(ctx, devDataCenter, evacuated, operator.NewChangeID())
 	if err != nil {
 		return err
 	}
-	_, err = t.inForce(ctx, record.Revision)
+	_, err = t.waitInForce(ctx, record.Revision)
 	return err
 }
 
-func (t *tour) drain(ctx context.Context) (string, error) {
-	answered, bad, err := t.underLoad(ctx, 1, func() error {
+func (t *tour) drainHost(ctx context.Context) (string, error) {
+	succeeded, failed, err := t.underLoad(ctx, 1, func() error {
 		if _, err := t.c.Operator.Drain(ctx, "host-1", true, operator.NewChangeID()); err != nil {
 			return err
 		}
@@ -295,29 +298,29 @@
 	if err != nil {
 		return "", err
 	}
-	if bad > 0 || answered == 0 {
-		return "", errors.Newf("%d requests answered, %d not; the first: %s", answered, bad, t.bad)
+	if failed > 0 || succeeded == 0 {
+		return "", errors.Newf("%d requests succeeded and %d failed; first failure: %s", succeeded, failed, t.firstFailure)
 	}
 	return "host-1 is safe to stop; every request meanwhile was answered 200, none cut", nil
 }
 
-func (t *tour) kill(ctx context.Context) (string, error) {
+func (t *tour) killServer(ctx context.Context) (string, error) {
 	t.c.Servers[1].Kill()
 	for range 50 {
-		status, answer, err := t.get(ctx, 2, "/after")
+		status, resp, err := t.get(ctx, 2, "/after")
 		if err != nil || status != http.StatusOK {
-			return "", errors.Newf("answered %d (%s): %v", status, answer.Header.Get(bodyHeader), err)
+			return "", errors.Newf("answered %d (%s): %v", status, resp.Header.Get(bodyHeader), err)
 		}
 	}
 	return "50 requests after it: every one answered 200 by the server that is left", nil
 }
 
-func (t *tour) stop(ctx context.Context) (string, error) {
+func (t *tour) stopNode(ctx context.Context) (string, error) {
 	if _, err := t.c.Operator.Drain(ctx, "host-1", false, operator.NewChangeID()); err != nil {
 		return "", err
 	}
-	answered, bad, err := t.underLoad(ctx, 0, func() error {
-		if err := t.waitTakesWork(ctx, 0); err != nil {
+	succeeded, failed, err := t.underLoad(ctx, 0, func() error {
+		if err := t.waitStartsRequests(ctx, 0); err != nil {
 			return err
 		}
 		return t.c.StopNode(ctx, 2)
@@ -325,28 +328,28 @@
 	if err != nil {
 		return "", err
 	}
-	if bad > 0 || answered == 0 {
-		return "", errors.Newf("%d requests answered, %d not; the first: %s", answered, bad, t.bad)
+	if failed > 0 || succeeded == 0 {
+		return "", errors.Newf("%d requests succeeded and %d failed; first failure: %s", succeeded, failed, t.firstFailure)
 	}
 	return "the process drained and ended; every request meanwhile was answered 200, none cut", nil
 }
 
-// waitTakesWork waits until a node's gate starts requests again.
-func (t *tour) waitTakesWork(ctx context.Context, node int) error {
+// waitStartsRequests waits until a node's gate starts requests again.
+func (t *tour) waitStartsRequests(ctx context.Context, node int) error {
 	started := func() string { return t.c.Nodes[node].Vars()["gate_started"].String() }
 	for before := started(); started() == before; {
 		select {
 		case <-ctx.Done():
-			return errors.Newf("host-%d takes no work", node+1)
+			return errors.Newf("the gate of host-%d starts no requests", node+1)
 		case <-time.After(pollInterval):
 		}
 	}
-	// Its siblings hear of it with its next report.
+	// The sibling gates learn of it from the next load report.
 	time.Sleep(time.Second)
 	return nil
 }
 
-func (t *tour) audit(ctx context.Context) (string, error) {
+func (t *tour) readAudit(ctx context.Context) (string, error) {
 	records, err := t.c.Operator.Audit(ctx, 0, "", 0)
 	if err != nil {
 		return "", err
--- a/internal/dev/tour_test.go
+++ b/internal/dev/tour_test.go
@@ -12,9 +12,10 @@
 	"cactuspath/examples"
 )
 
-// The tour is a whole session: what an operator and callers did and what came
-// back, byte for byte. Nothing in it depends on ports or times.
-func TestTourIsAsRecorded(t *testing.T) {
+// TestTourMatchesGoldenFile guards against any change in what operators and callers see in a
+// complete session. The output does not depend on ports or times and is compared byte for
+// byte.
+func TestTourMatchesGoldenFile(t *testing.T) {
 	klog.LogToStderr(false)
 	klog.SetOutput(io.Discard)
 	var out bytes.Buffer
