--- a/internal/diff/diff.go
+++ b/internal/diff/diff.go
@@ -1,32 +1,33 @@
-// Package diff compares two texts line by line.
+// Package diff computes the line differences between two texts.
 package diff
 
 import (
 	"strings"
 )
 
-// maxCells bounds the table of the comparison; beyond it the texts are shown as
-// wholly different.
-const maxCells = 25_000_000
+// maxTableCells limits the size of the subsequence table. Larger texts are reported as
+// completely different.
+const maxTableCells = 25_000_000
 
-// Lines returns the lines that differ, with "-" before those of a alone and "+"
-// before those of b alone. Equal lines are left out.
+// Lines returns the lines that differ: those only in a with the prefix "- ", those only in b
+// with the prefix "+ ". Equal lines are omitted.
 func Lines(a, b string) []string {
-	x, y := split(a), split(b)
+	x, y := splitLines(a), splitLines(b)
 	x, y = trimCommon(x, y)
-	if len(x)*len(y) > maxCells {
-		return append(mark("-", x), mark("+", y)...)
+	if len(x)*len(y) > maxTableCells {
+		return append(withSign("-", x), withSign("+", y)...)
 	}
-	return walk(x, y, lengths(x, y))
+	return differences(x, y, lcsLengths(x, y))
 }
 
-func split(s string) []string {
+func splitLines(s string) []string {
 	if s == "" {
 		return nil
 	}
 	return strings.Split(strings.TrimSuffix(s, "\n"), "\n")
 }
 
+// trimCommon removes the common prefix and suffix.
 func trimCommon(x, y []string) (restX, restY []string) {
 	for len(x) > 0 && len(y) > 0 && x[0] == y[0] {
 		x, y = x[1:], y[1:]
@@ -37,8 +38,9 @@
 	return x, y
 }
 
-// lengths gives the longest common subsequence of every pair of tails.
-func lengths(x, y []string) [][]int32 {
+// lcsLengths returns a table whose cell i, j is the length of the longest common subsequence
+// of x[i:] and y[j:].
+func lcsLengths(x, y []string) [][]int32 {
 	table := make([][]int32, len(x)+1)
 	for i := range table {
 		table[i] = make([]int32, len(y)+1)
@@ -55,7 +57,7 @@
 	return table
 }
 
-func walk(x, y []string, table [][]int32) []string {
+func differences(x, y []string, table [][]int32) []string {
 	var out []string
 	i, j := 0, 0
 	for i < len(x) && j < len(y) {
@@ -70,11 +72,11 @@
 			j++
 		}
 	}
-	out = append(out, mark("-", x[i:])...)
-	return append(out, mark("+", y[j:])...)
+	out = append(out, withSign("-", x[i:])...)
+	return append(out, withSign("+", y[j:])...)
 }
 
-func mark(sign string, lines []string) []string {
+func withSign(sign string, lines []string) []string {
 	out := make([]string, len(lines))
 	for i, l := range lines {
 		out[i] = sign + " " + l
