--- a/internal/testcert/testcert.go
+++ b/internal/testcert/testcert.go
@@ -1,4 +1,4 @@
-// Package testcert makes certificates for tests.
+// Package testcert creates TLS certificates for tests.
 package testcert
 
 import (
@@ -18,20 +18,21 @@
 	"gotest.tools/v3/assert"
 )
 
-// Files are where a process finds its certificate and the authority.
+// Files holds the paths of a process's certificate, its private key and the certificate
+// authority.
 type Files struct{ Certificate, Key, Authority string }
 
-// Write writes a new authority and a certificate of it for loopback into the
-// folder, over any that are there.
+// Write creates a certificate authority and a host certificate that it signs for loopback, and
+// writes both to folder. Existing files are overwritten.
 func Write(t testing.TB, folder string) Files {
 	t.Helper()
-	authority, authorityKey := certificate(t, "authority", nil, nil)
-	host, hostKey := certificate(t, "host", authority, authorityKey)
+	authority, authorityKey := newCertificate(t, "authority", nil, nil)
+	host, hostKey := newCertificate(t, "host", authority, authorityKey)
 	files := Files{Certificate: filepath.Join(folder, "host.pem"), Key: filepath.Join(folder, "host.key"), Authority: filepath.Join(folder, "ca.pem")}
 	key, err := x509.MarshalECPrivateKey(hostKey)
 	assert.NilError(t, err)
-	write := func(file, kind string, der []byte) {
-		assert.NilError(t, os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600))
+	write := func(file, blockType string, der []byte) {
+		assert.NilError(t, os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der}), 0o600))
 	}
 	write(files.Authority, "CERTIFICATE", authority.Raw)
 	write(files.Certificate, "CERTIFICATE", host.Raw)
@@ -39,7 +40,9 @@
 	return files
 }
 
-func certificate(t testing.TB, name string, parent *x509.Certificate, parentKey *ecdsa.PrivateKey) (*x509.Certificate, *ecdsa.PrivateKey) {
+// newCertificate creates a certificate that is valid for an hour and signed by parent, or a
+// self-signed authority if parent is nil.
+func newCertificate(t testing.TB, name string, parent *x509.Certificate, parentKey *ecdsa.PrivateKey) (*x509.Certificate, *ecdsa.PrivateKey) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(t, err)
