--- a/internal/testport/testport.go
+++ b/internal/testport/testport.go
@@ -1,4 +1,4 @@
-// Package testport picks loopback addresses for the processes that tests start.
+// Package testport selects loopback addresses for processes that tests start.
 package testport
 
 import (
@@ -11,42 +11,43 @@
 	"gotest.tools/v3/assert"
 )
 
-// Ports below the range that the system gives to outgoing connections: one of
-// those could be taken between its choice and its use, or while the process that
-// listens on it is down.
+// The ports are below the ephemeral range. A port in that range could be taken by an outgoing
+// connection between its selection and its use, or while the process that listens on it is
+// down.
 const (
 	firstPort = 10_000
 	portCount = 20_000
 )
 
-// portsPerProcess spreads tests that run at once: each starts at another port.
+// portsPerProcess is the distance between the first ports of consecutive process ids, so that
+// test processes that run concurrently start at different ports.
 const portsPerProcess = 97
 
-var nextPort atomic.Int64
+var portsTried atomic.Int64
 
-// Addresses returns n loopback addresses whose ports are free for TCP and UDP. It
-// may be called from several goroutines and never returns an address twice.
+// Addresses returns n loopback addresses whose ports are free for TCP and UDP. It can be called
+// concurrently and never returns an address twice.
 func Addresses(t testing.TB, n int) []string {
 	t.Helper()
-	var list []string
-	for tries := 0; len(list) < n && tries < portCount; tries++ {
-		offset := (int64(os.Getpid())*portsPerProcess + nextPort.Add(1)) % portCount
+	var addresses []string
+	for attempts := 0; len(addresses) < n && attempts < portCount; attempts++ {
+		offset := (int64(os.Getpid())*portsPerProcess + portsTried.Add(1)) % portCount
 		address := fmt.Sprintf("127.0.0.1:%d", firstPort+offset)
-		if free(address) {
-			list = append(list, address)
+		if isFree(address) {
+			addresses = append(addresses, address)
 		}
 	}
-	assert.Equal(t, len(list), n, "no free ports")
-	return list
+	assert.Equal(t, len(addresses), n, "not enough free ports")
+	return addresses
 }
 
-// Address returns one such address.
+// Address returns a loopback address whose port is free for TCP and UDP.
 func Address(t testing.TB) string {
 	t.Helper()
 	return Addresses(t, 1)[0]
 }
 
-func free(address string) bool {
+func isFree(address string) bool {
 	tcp, err := net.Listen("tcp", address)
 	if err != nil {
 		return false
