--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,9 +1,10 @@
-// Package examples holds the estates that the documentation and the tour use.
+// Package examples contains the estates used by the documentation and by the tour of
+// `cactuspath dev`.
 package examples
 
 import _ "embed"
 
-// Dev is the estate of `cactuspath dev`.
+// Dev is the estate that `cactuspath dev` submits.
 //
 //go:embed dev.jsonc
 var Dev []byte
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -12,8 +12,9 @@
 	"cactuspath/internal/settings"
 )
 
-// What the documentation offers for copying must pass the checks.
-func TestExamplesPassTheirChecks(t *testing.T) {
+// TestExamplesAreValid guards against estates and settings in the documentation that are
+// rejected when a user copies them.
+func TestExamplesAreValid(t *testing.T) {
 	files, err := filepath.Glob("*/*.jsonc")
 	assert.NilError(t, err)
 	assert.Equal(t, len(files), 2+13+12)
