--- a/scripts/pure.sh
+++ b/scripts/pure.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# core holds decisions only: no sockets, files, clocks, goroutines or global
-# randomness, so that each can be replayed with a virtual clock.
+# Checks that core contains only decision logic, without sockets, files, clocks, goroutines
+# or global randomness, so that every decision can be replayed with a virtual clock.
 set -euo pipefail
 cd "$(dirname "$0")/../core"
 bad=0
--- a/scripts/scripts_test.go
+++ b/scripts/scripts_test.go
@@ -1,4 +1,4 @@
-// Package scripts holds the tests of this folder's shell scripts.
+// Package scripts contains the tests of the shell scripts and the import rules.
 package scripts
 
 import (
@@ -11,38 +11,38 @@
 	"gotest.tools/v3/assert"
 )
 
-// CI passes over the tests that the list names. An entry that cannot be read must stop
-// it with the line and the form to write: skipped silently, it would hide a test that
-// fails, or fail one that is known to.
+// CI skips the tests in the list. A malformed entry must stop CI with its line number and the
+// expected format. If it were ignored, CI would skip the wrong tests, or fail on a test that is
+// known to fail.
 func TestKnownRedList(t *testing.T) {
 	const entry = "TestSoak | go test ./internal/soak -seed 7 | two answers cut | issue 12"
-	for _, c := range []struct{ desc, list, want, wrong string }{
+	for _, c := range []struct{ desc, list, want, wantErr string }{
 		{"no entries", "# none at present\n\n", "", ""},
 		{"one entry", entry + "\n", "^(TestSoak)$", ""},
 		{"more than three entries", strings.Repeat(entry+"\n", 4), "^(TestSoak|TestSoak|TestSoak|TestSoak)$", ""},
-		{"last line without an end", entry, "^(TestSoak)$", ""},
+		{"no newline at the end", entry, "^(TestSoak)$", ""},
 		{"no command", "TestSoak | | two answers cut | issue 12\n", "", ":1: not an entry"},
 		{"three fields", "TestSoak | two answers cut | issue 12\n", "", ":1: not an entry"},
 		{"no issue", entry + "\nTestSoak | go test | cut | later\n", "", ":2: not an entry"},
-		{"a pattern for a name", "Test.* | go test | cut | issue 1\n", "", ":1: not an entry"},
-		{"the former form", "TestSoak, two answers cut, issue 12\n", "", ":1: not an entry"},
+		{"pattern instead of a name", "Test.* | go test | cut | issue 1\n", "", ":1: not an entry"},
+		{"comma-separated entry", "TestSoak, two answers cut, issue 12\n", "", ":1: not an entry"},
 	} {
 		t.Run(c.desc, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
 			assert.NilError(t, os.WriteFile(file, []byte(c.list), 0o600))
 			cmd := exec.Command("./known-red.sh", file)
-			var wrong strings.Builder
-			cmd.Stderr = &wrong
+			var stderr strings.Builder
+			cmd.Stderr = &stderr
 			out, err := cmd.Output()
-			assert.Equal(t, err != nil, c.wrong != "", wrong.String())
-			assert.Assert(t, strings.Contains(wrong.String(), c.wrong), wrong.String())
+			assert.Equal(t, err != nil, c.wantErr != "", stderr.String())
+			assert.Assert(t, strings.Contains(stderr.String(), c.wantErr), stderr.String())
 			assert.Equal(t, strings.TrimSpace(string(out)), c.want)
 		})
 	}
 }
 
-// A site whose gate fails, or that says nothing, must not pass for one that is scored:
-// the table has both, and the exit code tells.
+// A site whose gate fails, or whose run prints no gate result, must not be reported as
+// passed: the table lists both, and the exit code is 1.
 func TestScoreTable(t *testing.T) {
 	folder := t.TempDir()
 	bench := filepath.Join(folder, "bench")
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Formats are checked, the linters run, then every test of the three modules.
+# Checks the formatting, runs the linters and then all tests of the three modules.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -11,13 +11,13 @@
   exit 1
 fi
 
-echo "== core is pure"
+echo "== core has no I/O, clocks, goroutines or global randomness"
 ./scripts/pure.sh
 
-echo "== the platform's names stay in platform/"
+echo "== platform names occur only in platform/ and deploy/"
 ./scripts/boundary.sh
 
-echo "== the platform's build"
+echo "== platform build"
 bash -c "$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/system.toml)"
 
 echo "== go vet"
@@ -31,10 +31,10 @@
   (cd "$module" && "$bin/staticcheck" ./...)
 done
 
-# Tests that fail for a known fault are passed over and printed (scripts/known-red.sh).
+# Tests that fail because of a known fault are printed and skipped (scripts/known-red.sh).
 skip=()
 if [ -s KNOWN-RED.txt ]; then
-  echo "== known to fail"
+  echo "== known failures"
   cat KNOWN-RED.txt
   pattern=$(./scripts/known-red.sh KNOWN-RED.txt)
   if [ -n "$pattern" ]; then
