--- a/deploy/pairs/main.go
+++ b/deploy/pairs/main.go
@@ -1,7 +1,7 @@
-// Command pairs plays days of a site on two checkouts side by side and tells whether
-// they differ: for each day and seed it plays both, and prints the mean difference in
-// worth, its standard error and the share of pairs that the second one won. A single
-// play says little: the same code differs by 0.02 to 0.1 from play to play.
+// Command pairs compares checkouts by running the same days of a site on each of them. For each day
+// and seed it runs the baseline and every candidate, and prints the mean difference in worth, its
+// standard error and the share of pairs in which the candidate is better. A single run is not
+// conclusive: results of the same code vary by 0.02 to 0.1 between runs.
 //
 //	go run ./deploy/pairs -bench PATH -a DIR -b DIR -site FILE -days d1,d2 -seeds 1-8 -why "..."
 package main
@@ -22,47 +22,47 @@
 	"github.com/cockroachdb/errors"
 )
 
-// options are the command's flags.
+// options contains the command-line flags.
 type options struct {
-	bench, a, b, site, days, seeds, why string
-	// changed are the checkouts that b names.
-	changed []string
-	jobs    int
-	noCPU   bool
-	small   bool
+	bench, baseline, candidateFlag, site, days, seeds, journalNote string
+	// candidates contains the checkouts listed in candidateFlag.
+	candidates []string
+	jobs       int
+	noCPU      bool
+	small      bool
 }
 
-// play is one day on one checkout.
-type play struct {
+// dayRun identifies one run of a day on a checkout.
+type dayRun struct {
 	checkout, day string
 	seed          int
 }
 
-// outcome is the part of the bench's report that is compared.
-type outcome struct {
-	Worth   float64        `json:"G"`
-	Served  float64        `json:"served"`
-	Breaks  map[string]any `json:"breaks"`
-	Classes []struct {
+// result contains the compared fields of the benchmark report.
+type result struct {
+	Worth       float64        `json:"G"`
+	Served      float64        `json:"served"`
+	BrokenRules map[string]any `json:"breaks"`
+	Classes     []struct {
 		Name  string  `json:"name"`
 		Worth float64 `json:"worth"`
 	} `json:"classes"`
-	Short []any `json:"short"`
-	Fault any   `json:"fault"`
+	BelowFloor []any `json:"short"`
+	Fault      any   `json:"fault"`
 }
 
 func main() {
 	var o options
-	flag.StringVar(&o.bench, "bench", "", "the bench's program")
-	flag.StringVar(&o.a, "a", "", "checkout with the code as it was")
-	flag.StringVar(&o.b, "b", "", "checkouts with a change each, separated by commas; they share the plays of the first one")
+	flag.StringVar(&o.bench, "bench", "", "path of the benchmark program")
+	flag.StringVar(&o.baseline, "a", "", "baseline checkout")
+	flag.StringVar(&o.candidateFlag, "b", "", "candidate checkouts, separated by commas; all are compared with the same baseline runs")
 	flag.StringVar(&o.site, "site", "", "site file")
 	flag.StringVar(&o.days, "days", "", "days, separated by commas")
 	flag.StringVar(&o.seeds, "seeds", "1-4", "first and last seed")
-	flag.StringVar(&o.why, "why", "", "a line for the journal")
-	flag.IntVar(&o.jobs, "jobs", 4, "plays at a time")
-	flag.BoolVar(&o.noCPU, "no-cpu", true, "do not charge processor time, which differs from play to play")
-	flag.BoolVar(&o.small, "small", false, "play the small twins of days of large sites")
+	flag.StringVar(&o.journalNote, "why", "", "reason recorded in the journal")
+	flag.IntVar(&o.jobs, "jobs", 4, "number of concurrent runs")
+	flag.BoolVar(&o.noCPU, "no-cpu", true, "do not charge processor time, which varies between runs")
+	flag.BoolVar(&o.small, "small", false, "run the small variants of the days of large sites")
 	flag.Parse()
 	if err := run(o); err != nil {
 		fmt.Fprintln(os.Stderr, "pairs:", err)
@@ -71,40 +71,40 @@
 }
 
 func run(o options) error {
-	first, last, err := seedRange(o.seeds)
+	first, last, err := parseSeedRange(o.seeds)
 	if err != nil {
 		return err
 	}
-	if o.bench == "" || o.a == "" || o.b == "" || o.site == "" || o.days == "" || o.why == "" {
-		return errors.New("-bench, -a, -b, -site, -days and -why are needed")
+	if o.bench == "" || o.baseline == "" || o.candidateFlag == "" || o.site == "" || o.days == "" || o.journalNote == "" {
+		return errors.New("-bench, -a, -b, -site, -days and -why are required")
 	}
-	o.changed = strings.Split(o.b, ",")
-	for _, checkout := range append([]string{o.a}, o.changed...) {
-		if out, err := command(o, checkout, "build").CombinedOutput(); err != nil {
-			return errors.Wrapf(err, "%s does not build: %s", checkout, out)
+	o.candidates = strings.Split(o.candidateFlag, ",")
+	for _, checkout := range append([]string{o.baseline}, o.candidates...) {
+		if out, err := benchCommand(o, checkout, "build").CombinedOutput(); err != nil {
+			return errors.Wrapf(err, "build %s: %s", checkout, out)
 		}
 	}
-	var plays []play
+	var runs []dayRun
 	for seed := first; seed <= last; seed++ {
 		for _, day := range strings.Split(o.days, ",") {
-			plays = append(plays, play{o.a, day, seed})
-			for _, b := range o.changed {
-				plays = append(plays, play{b, day, seed})
+			runs = append(runs, dayRun{o.baseline, day, seed})
+			for _, b := range o.candidates {
+				runs = append(runs, dayRun{b, day, seed})
 			}
 		}
 	}
-	outcomes, err := playAll(o, plays)
+	results, err := runAll(o, runs)
 	if err != nil {
 		return err
 	}
-	for _, b := range o.changed {
+	for _, b := range o.candidates {
 		fmt.Println("== " + b)
-		report(o, b, first, last, outcomes)
+		printComparison(o, b, first, last, results)
 	}
 	return nil
 }
 
-func seedRange(s string) (first, last int, err error) {
+func parseSeedRange(s string) (first, last int, err error) {
 	from, to, ranged := strings.Cut(s, "-")
 	if !ranged {
 		to = from
@@ -113,17 +113,17 @@
 	if err == nil {
 		last, err = strconv.Atoi(to)
 	}
-	return first, last, errors.Wrap(err, "-seeds: write a range such as 1-8")
+	return first, last, errors.Wrap(err, "-seeds must be a range such as 1-8")
 }
 
-func command(o options, checkout string, args ...string) *exec.Cmd {
+func benchCommand(o options, checkout string, args ...string) *exec.Cmd {
 	c := exec.CommandContext(context.Background(), o.bench, args...)
 	c.Dir = checkout
 	return c
 }
 
-// playAll plays all, some at a time.
-func playAll(o options, plays []play) (map[play]outcome, error) {
+// runAll executes the runs, at most o.jobs at a time. Failed runs are printed and have no result.
+func runAll(o options, runs []dayRun) (map[dayRun]result, error) {
 	dir, err := os.MkdirTemp("", "pairs")
 	if err != nil {
 		return nil, err
@@ -132,69 +132,69 @@
 	var (
 		mu       sync.Mutex
 		group    sync.WaitGroup
-		outcomes = map[play]outcome{}
+		results  = map[dayRun]result{}
 		failures []error
-		turns    = make(chan struct{}, o.jobs)
+		slots    = make(chan struct{}, o.jobs)
 	)
-	for i, p := range plays {
-		turns <- struct{}{}
+	for i, p := range runs {
+		slots <- struct{}{}
 		group.Go(func() {
-			defer func() { <-turns }()
-			out, err := playOne(o, p, filepath.Join(dir, strconv.Itoa(i)))
+			defer func() { <-slots }()
+			out, err := runDay(o, p, filepath.Join(dir, strconv.Itoa(i)))
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
 				failures = append(failures, err)
 				return
 			}
-			outcomes[p] = out
+			results[p] = out
 		})
 	}
 	group.Wait()
 	for _, err := range failures {
-		fmt.Println("not played:", err)
+		fmt.Println("run failed:", err)
 	}
-	return outcomes, nil
+	return results, nil
 }
 
-func playOne(o options, p play, file string) (outcome, error) {
-	args := []string{"run", o.site, p.day, "--seed", strconv.Itoa(p.seed), "--jobs", "1", "--report", file, "--why", o.why}
+func runDay(o options, r dayRun, file string) (result, error) {
+	args := []string{"run", o.site, r.day, "--seed", strconv.Itoa(r.seed), "--jobs", "1", "--report", file, "--why", o.journalNote}
 	if o.noCPU {
 		args = append(args, "--no-cpu")
 	}
 	if o.small {
 		args = append(args, "--small")
 	}
-	text, runErr := command(o, p.checkout, args...).CombinedOutput()
+	text, runErr := benchCommand(o, r.checkout, args...).CombinedOutput()
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return outcome{}, errors.Wrapf(errors.CombineErrors(runErr, err), "%s %s seed %d: %s", p.checkout, p.day, p.seed, text)
+		return result{}, errors.Wrapf(errors.CombineErrors(runErr, err), "%s %s seed %d: %s", r.checkout, r.day, r.seed, text)
 	}
-	var out outcome
+	var out result
 	return out, json.Unmarshal(data, &out)
 }
 
-// sample is a set of differences between pairs.
-type sample struct {
-	values []float64
-	before float64
+// differences collects the differences between the paired results of the baseline and a candidate.
+type differences struct {
+	values      []float64
+	baselineSum float64
 }
 
-func (s *sample) add(a, b float64) {
+func (s *differences) add(a, b float64) {
 	s.values = append(s.values, b-a)
-	s.before += a
+	s.baselineSum += a
 }
 
-func (s *sample) String() string {
+func (s *differences) String() string {
 	n := float64(len(s.values))
 	if n == 0 {
 		return "no pairs"
 	}
-	mean, won := 0.0, 0
+	mean, improved := 0.0, 0
 	for _, v := range s.values {
 		mean += v / n
 		if v > 0 {
-			won++
+			improved++
 		}
 	}
 	square := 0.0
@@ -205,41 +205,41 @@
 	if n > 1 {
 		stdErr = math.Sqrt(square / (n - 1) / n)
 	}
-	return fmt.Sprintf("%3.0f pairs  before %.3f  difference %+.4f ± %.4f  won %.0f %%", n, s.before/n, mean, stdErr, 100*float64(won)/n)
+	return fmt.Sprintf("%3.0f pairs  baseline %.3f  difference %+.4f ± %.4f  improved %.0f %%", n, s.baselineSum/n, mean, stdErr, 100*float64(improved)/n)
 }
 
-// tellFailed prints a play that broke a rule or fell below its floors.
-func tellFailed(checkout, day string, seed int, out outcome) {
-	if len(out.Breaks) > 0 || out.Fault != nil || len(out.Short) > 0 {
-		fmt.Printf("%s %s seed %d: rules %v, fault %v, below its floors %v\n", checkout, day, seed, out.Breaks, out.Fault, out.Short)
+// printFailures prints the broken rules, the fault and the floors not reached by a run, if any.
+func printFailures(checkout, day string, seed int, out result) {
+	if len(out.BrokenRules) > 0 || out.Fault != nil || len(out.BelowFloor) > 0 {
+		fmt.Printf("%s %s seed %d: broken rules %v, fault %v, floors not reached %v\n", checkout, day, seed, out.BrokenRules, out.Fault, out.BelowFloor)
 	}
 }
 
-func report(o options, changed string, first, last int, outcomes map[play]outcome) {
-	all, served := &sample{}, &sample{}
-	classes, order := map[string]*sample{}, []string{}
+func printComparison(o options, candidate string, first, last int, results map[dayRun]result) {
+	all, served := &differences{}, &differences{}
+	classes, order := map[string]*differences{}, []string{}
 	for _, day := range strings.Split(o.days, ",") {
-		one := &sample{}
+		dayDifferences := &differences{}
 		for seed := first; seed <= last; seed++ {
-			a, okA := outcomes[play{o.a, day, seed}]
-			b, okB := outcomes[play{changed, day, seed}]
-			tellFailed(o.a, day, seed, a)
-			tellFailed(changed, day, seed, b)
+			a, okA := results[dayRun{o.baseline, day, seed}]
+			b, okB := results[dayRun{candidate, day, seed}]
+			printFailures(o.baseline, day, seed, a)
+			printFailures(candidate, day, seed, b)
 			if !okA || !okB {
 				continue
 			}
-			one.add(a.Worth, b.Worth)
+			dayDifferences.add(a.Worth, b.Worth)
 			all.add(a.Worth, b.Worth)
 			served.add(a.Served, b.Served)
 			for i, c := range a.Classes {
 				if classes[c.Name] == nil {
-					classes[c.Name] = &sample{}
+					classes[c.Name] = &differences{}
 					order = append(order, c.Name)
 				}
 				classes[c.Name].add(c.Worth, b.Classes[i].Worth)
 			}
 		}
-		fmt.Printf("%-24s %s\n", day, one)
+		fmt.Printf("%-24s %s\n", day, dayDifferences)
 	}
 	fmt.Printf("%-24s %s\n", "all days, worth", all)
 	fmt.Printf("%-24s %s\n", "all days, credit", served)
