--- a/internal/e2e/bench_test.go
+++ b/internal/e2e/bench_test.go
@@ -21,23 +21,23 @@
 )
 
 var (
-	record   = flag.String("record", "", "folder to write measurements to")
-	duration = flag.Duration("duration", 10*time.Second, "how long each rate is measured")
+	recordDir = flag.String("record", "", "directory for measurements")
+	duration  = flag.Duration("duration", 10*time.Second, "duration of the measurement at each rate")
 )
 
-// keep writes a measurement to the folder that -record names.
-func keep[T any](t testing.TB, file, what, command string, data []T) {
+// writeMeasurement writes a measurement to the directory given by -record, if any.
+func writeMeasurement[T any](t testing.TB, file, description, command string, data []T) {
 	t.Helper()
-	if *record == "" {
+	if *recordDir == "" {
 		return
 	}
-	text, err := json.MarshalIndent(capacity.Run[T]{What: what, Command: command, Date: time.Now().UTC().Format(time.DateOnly), Cores: runtime.NumCPU(), Data: data}, "", "  ")
+	text, err := json.MarshalIndent(capacity.Run[T]{What: description, Command: command, Date: time.Now().UTC().Format(time.DateOnly), Cores: runtime.NumCPU(), Data: data}, "", "  ")
 	assert.NilError(t, err)
-	assert.NilError(t, os.WriteFile(filepath.Join(*record, file), append(text, '\n'), 0o644))
+	assert.NilError(t, os.WriteFile(filepath.Join(*recordDir, file), append(text, '\n'), 0o644))
 }
 
-// BenchmarkPath measures what the path adds: the stand-in asked directly, through
-// its own node, and through two nodes, in turn within one run.
+// BenchmarkPath measures the latency added by nodes: requests are sent to the backend server
+// directly, through its own node and through two nodes, alternating within one run.
 //
 //	go test ./internal/e2e -run '^$' -bench Path -benchtime 1x -args -record ../../docs/measurements
 func BenchmarkPath(b *testing.B) {
@@ -50,10 +50,10 @@
 	t := b
 	c := newBenchCluster(t)
 	n, front := c.nodes[0], c.nodes[1]
-	direct := standinAddress(t, n)
+	direct := backendAddress(t, n)
 	path := "/?sleep=1ms"
-	// Two processes that only pass bytes on: what two more processes in the way
-	// cost on this machine, whatever they do.
+	// Two processes that only forward bytes show the cost of two additional processes on this
+	// machine, independently of what they do.
 	bare := bareRelay(t, bareRelay(t, direct))
 	targets := []loadgen.Target{
 		{Name: "direct", Address: direct, Host: "hello.example", Path: path},
@@ -72,33 +72,32 @@
 		}
 		fmt.Printf("rate %5.0f two bare relays add p50 %d us, p99 %d us\n", rate, run.BareP50, run.BareP99)
 		fmt.Printf("rate %5.0f two nodes add p50 %d us, p99 %d us; resident %d MB (endpoint's node), %d MB (caller's node)\n",
-			rate, run.AddedP50, run.AddedP99, residentMB(t, n.proc), residentMB(t, front.proc))
+			rate, run.AddedP50, run.AddedP99, residentMB(t, n.process), residentMB(t, front.process))
 	}
-	keep(t, "path.json", "latency added by two nodes, open loop, 1 ms backend server", "go test ./internal/e2e -run '^$' -bench Path -benchtime 1x", runs)
+	writeMeasurement(t, "path.json", "latency added by two nodes, open loop, 1 ms backend server", "go test ./internal/e2e -run '^$' -bench Path -benchtime 1x", runs)
 }
 
-// newBenchCluster is one control replica, a node with a stand-in, and a node
-// for callers.
+// newBenchCluster starts one control replica, a node with a backend server, and a node for callers.
 func newBenchCluster(t testing.TB) *cluster {
 	c := newCluster(t, 1).start()
 	n := c.addNode("")
 	c.spawn("backend-of-"+n.host, "cactuspath", "backend", "--service", "hello", "--admin", n.admin, "--slots", "200")
 	front := c.addNode("")
 	c.submit(estateText("bench", "hello"))
-	front.serves(t, "hello")
-	n.serves(t, "hello")
+	front.waitServing(t, "hello")
+	n.waitServing(t, "hello")
 	return c
 }
 
-func standinAddress(t testing.TB, n *nodeProc) string {
+func backendAddress(t testing.TB, n *nodeProcess) string {
 	t.Helper()
-	address := n.server(t)["address"].(string)
+	address := n.serverStatus(t)["address"].(string)
 	assert.Assert(t, strings.Contains(address, ":"))
 	return address
 }
 
-// bareRelayEnv makes this test binary a process that passes bytes on, from one
-// address to another: "LISTEN>TO".
+// bareRelayEnv is an environment variable that makes the test binary forward bytes between two
+// addresses, given as "LISTEN>TO".
 const bareRelayEnv = "CACTUSPATH_E2E_BARE_RELAY"
 
 func bareRelay(t testing.TB, to string) string {
@@ -124,6 +123,6 @@
 	if err != nil {
 		panic(err)
 	}
-	c := &cut{listener: l, to: to, open: map[net.Conn]bool{}}
+	c := &partitionProxy{listener: l, target: to, conns: map[net.Conn]bool{}}
 	c.accept()
 }
--- a/internal/e2e/bodies_test.go
+++ b/internal/e2e/bodies_test.go
@@ -22,40 +22,40 @@
 
 var bodiesSeed = flag.Uint64("bodies.seed", 1, "seed of TestBodiesArriveAsTheyWereSent")
 
-// pattern is the byte at a place of a request's body: no other request has the same.
-func pattern(id, at int) byte { return byte(at*31 + id*17 + at>>8) }
+// patternByte returns the byte at an offset of a request's body. The bytes differ between requests.
+func patternByte(id, offset int) byte { return byte(offset*31 + id*17 + offset>>8) }
 
-// patterned reads a request's body.
-type patterned struct{ id, at, length int }
+// patternReader returns the body of a request.
+type patternReader struct{ id, offset, length int }
 
-func (p *patterned) Read(b []byte) (int, error) {
-	n := min(len(b), p.length-p.at)
+func (p *patternReader) Read(b []byte) (int, error) {
+	n := min(len(b), p.length-p.offset)
 	if n == 0 {
 		return 0, io.EOF
 	}
 	for i := range n {
-		b[i] = pattern(p.id, p.at+i)
+		b[i] = patternByte(p.id, p.offset+i)
 	}
-	p.at += n
+	p.offset += n
 	return n, nil
 }
 
-// checkingServer is a backend server that checks every byte of every body. It answers
-// some requests before their bodies are in, keeps the connection and reads on.
+// checkingServer is a backend server that checks every byte of every body. It responds to some
+// requests before it has received the body, keeps the connection open and reads the remaining body.
 type checkingServer struct {
 	net.Listener
-	mu     sync.Mutex
-	wrong  []string
-	bodies atomic.Int64
+	mu             sync.Mutex
+	failures       []string
+	completeBodies atomic.Int64
 }
 
 func newCheckingServer(t *testing.T) *checkingServer {
 	t.Helper()
-	return listening(t, (*checkingServer).serve)
+	return startServer(t, (*checkingServer).serve)
 }
 
-// listening hands each connection to serve, which owns it.
-func listening(t *testing.T, serve func(*checkingServer, net.Conn)) *checkingServer {
+// startServer starts a server that passes each connection to serve, which must close it.
+func startServer(t *testing.T, serve func(*checkingServer, net.Conn)) *checkingServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -73,13 +73,13 @@
 	return s
 }
 
-func (s *checkingServer) complain(format string, args ...any) {
+func (s *checkingServer) fail(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wrong = append(s.wrong, fmt.Sprintf(format, args...))
+	s.failures = append(s.failures, fmt.Sprintf(format, args...))
 }
 
-// serve reads requests such as POST /early/ID/LENGTH.
+// serve handles requests of the form POST /early/ID/LENGTH.
 func (s *checkingServer) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
@@ -87,7 +87,7 @@
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			if !endOfConnection(err) {
-				s.complain("no request where one was due: %v", err)
+				s.fail("invalid request: %v", err)
 			}
 			return
 		}
@@ -98,7 +98,7 @@
 		}
 		parts := strings.Split(req.URL.Path, "/")
 		if len(parts) != 4 {
-			s.complain("a request for %q that nobody sent", req.URL.Path)
+			s.fail("received a request for %q, which no caller sent", req.URL.Path)
 			return
 		}
 		id, _ := strconv.Atoi(parts[2])
@@ -106,7 +106,7 @@
 		if parts[1] == "early" {
 			_, _ = io.WriteString(c, answer)
 		}
-		if !s.check(req.Body, id, length) {
+		if !s.checkBody(req.Body, id, length) {
 			return
 		}
 		if parts[1] != "early" {
@@ -119,43 +119,43 @@
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// check reads a body; it reports whether it was whole.
-func (s *checkingServer) check(body io.Reader, id, length int) bool {
+// checkBody reads a body and reports whether it was complete.
+func (s *checkingServer) checkBody(body io.Reader, id, length int) bool {
 	buffer := make([]byte, 8<<10)
-	for at := 0; ; {
+	for offset := 0; ; {
 		n, err := body.Read(buffer)
 		for i := range n {
-			if at+i >= length || buffer[i] != pattern(id, at+i) {
-				s.complain("request %d: byte %d of %d is not its own", id, at+i, length)
+			if offset+i >= length || buffer[i] != patternByte(id, offset+i) {
+				s.fail("request %d: wrong body at byte %d of %d", id, offset+i, length)
 				return false
 			}
 		}
-		at += n
+		offset += n
 		switch {
-		case errors.Is(err, io.EOF) && at == length:
-			s.bodies.Add(1)
+		case errors.Is(err, io.EOF) && offset == length:
+			s.completeBodies.Add(1)
 			return true
 		case errors.Is(err, io.EOF):
-			s.complain("request %d: %d of %d bytes look like a whole body", id, at, length)
+			s.fail("request %d: body ended after %d of %d bytes", id, offset, length)
 			return false
 		case err != nil:
 			if !endOfConnection(err) {
-				s.complain("request %d: after %d of %d bytes: %v", id, at, length, err)
+				s.fail("request %d: after %d of %d bytes: %v", id, offset, length, err)
 			}
 			return false
 		}
 	}
 }
 
-// upload sends one request in pieces on a connection of its own. It may leave in the
-// middle, or send another request behind the first.
-func upload(address string, random *rand.Rand, id int) {
+// sendUploads sends one or two uploads with the same ID on a new connection, in pieces. It may
+// close the connection in the middle of a body.
+func sendUploads(address string, random *rand.Rand, id int) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(patience / 4))
+	_ = c.SetDeadline(time.Now().Add(waitTimeout / 4))
 	requests := 1 + random.IntN(2)
 	for range requests {
 		mode := []string{"early", "whole"}[random.IntN(2)]
@@ -169,7 +169,7 @@
 			framing += "\r\nExpect: 100-continue"
 		}
 		_, _ = fmt.Fprintf(c, "POST /%s/%d/%d HTTP/1.1\r\nHost: pay.example\r\n%s\r\n\r\n", mode, id, length, framing)
-		if !sendPieces(c, random, &patterned{id: id, length: length}, chunked) {
+		if !sendInPieces(c, random, &patternReader{id: id, length: length}, chunked) {
 			return
 		}
 	}
@@ -186,8 +186,8 @@
 	}
 }
 
-// sendPieces reports whether all was sent.
-func sendPieces(c net.Conn, random *rand.Rand, body io.Reader, chunked bool) bool {
+// sendInPieces reports whether the complete body was sent.
+func sendInPieces(c net.Conn, random *rand.Rand, body io.Reader, chunked bool) bool {
 	for {
 		piece := make([]byte, 1+random.IntN(24<<10))
 		n, err := io.ReadFull(body, piece)
@@ -212,49 +212,50 @@
 	return true
 }
 
-// Callers upload bodies of all sizes, with and without a length, in pieces; some leave
-// in the middle. Backend servers answer half of them before the body is in, keep the
-// connection and read on. Whatever a server reads as a body must be that request's
-// bytes: others in their place are how requests are smuggled past a gate.
+// Guards against request smuggling: whatever a backend server reads as a body must consist of the
+// bytes of that request. Callers upload bodies of various sizes, with and without a length, in
+// pieces, and some close the connection in the middle of a body. Backend servers respond to half of
+// the requests before they have received the body, keep the connection open and read the remaining
+// body.
 func TestBodiesArriveAsTheyWereSent(t *testing.T) {
 	c := newCluster(t, 1).start()
 	var servers []*checkingServer
 	for range 2 {
 		n := c.addNode("")
 		s := newCheckingServer(t)
-		announce(t, n, s.Addr().String())
+		keepAnnounced(t, n, s.Addr().String())
 		servers = append(servers, s)
 	}
 	c.submit(estateText("bodies", "pay"))
 	for _, n := range c.nodes {
-		n.knows(t, 2)
-		n.serves(t, "pay")
+		n.waitEndpoints(t, 2)
+		n.waitServing(t, "pay")
 	}
 	var callers sync.WaitGroup
 	for worker := range 8 {
 		random := rand.New(rand.NewPCG(*bodiesSeed, uint64(worker)))
 		callers.Go(func() {
 			for i := range 40 {
-				upload(c.nodes[worker%2].callers, random, 1+worker*1000+i)
+				sendUploads(c.nodes[worker%2].callers, random, 1+worker*1000+i)
 			}
 		})
 	}
 	callers.Wait()
-	whole := int64(0)
+	complete := int64(0)
 	for _, s := range servers {
 		s.mu.Lock()
-		assert.Equal(t, len(s.wrong), 0, "%s", strings.Join(s.wrong, "\n"))
+		assert.Equal(t, len(s.failures), 0, "%s", strings.Join(s.failures, "\n"))
 		s.mu.Unlock()
-		whole += s.bodies.Load()
+		complete += s.completeBodies.Load()
 	}
-	assert.Assert(t, whole > 100, "only %d bodies came whole", whole)
+	assert.Assert(t, complete > 100, "only %d complete bodies", complete)
 }
 
-// announce tells a node of a backend server, again and again until the test ends.
-func announce(t *testing.T, n *nodeProc, address string) {
+// keepAnnounced announces a backend server to a node repeatedly until the test ends.
+func keepAnnounced(t *testing.T, n *nodeProcess, address string) {
 	t.Helper()
-	put := func() bool { return n.putServer(`{"service":"pay","address":"` + address + `"}`) }
-	eventually(t, "the node takes the backend server in", put)
+	put := func() bool { return n.announceServer(`{"service":"pay","address":"` + address + `"}`) }
+	eventually(t, "the node accepts the backend server", put)
 	done := make(chan struct{})
 	t.Cleanup(func() { close(done) })
 	go func() {
--- a/internal/e2e/body_sender_test.go
+++ b/internal/e2e/body_sender_test.go
@@ -19,171 +19,172 @@
 	"cactuspath/internal/hop"
 )
 
-// A node sends a long body beside the reading of the answer, by a goroutine of its
-// own. These tests are about what that goroutine does when the exchange ends first.
+// A node sends a long body from a separate goroutine, concurrently with reading the response. These
+// tests cover what this goroutine does if the exchange ends first.
 
-// uploadLength is more than the 64 KiB up to which a node holds bodies in memory.
+// uploadLength exceeds the 64 KiB up to which a node buffers bodies in memory.
 const uploadLength = 200_000
 
-// uploadsEstate lets uploads be tried again, each time: every first attempt fails here.
-const uploadsEstate = `{"institution": "trial", "terms": {"retryPercent": 100}, "services": {"pay": {
+// retryingEstate permits a retry of every upload, as every first attempt fails in these tests.
+const retryingEstate = `{"institution": "trial", "terms": {"retryPercent": 100}, "services": {"pay": {
 	"hosts": ["pay.example"], "slots": 20, "timeout": "20s", "idempotent": ["GET", "PUT"], "maxAttempts": 2}}}`
 
-// oneProcessor has a node's goroutines take turns: one that is started runs only when
-// the one that started it waits.
-var oneProcessor = []string{"GOMAXPROCS=1"}
+// singleProcessorEnv makes the goroutines of a node take turns: a new goroutine runs only when the
+// goroutine that started it blocks.
+var singleProcessorEnv = []string{"GOMAXPROCS=1"}
 
-// uploadSite is a node for callers, and nodes with backend servers behind taps.
+// uploadSite consists of a node for callers, and nodes with backend servers behind recording
+// proxies.
 type uploadSite struct {
 	*cluster
-	front   *nodeProc
-	taps    []*tap
+	front   *nodeProcess
+	proxies []*recordingProxy
 	servers []*checkingServer
 }
 
-func newUploadSite(t *testing.T, env []string, gates int, passes func(*tapped, []byte) bool, serve func(*checkingServer, net.Conn, *http.Request) bool) *uploadSite {
+func newUploadSite(t *testing.T, env []string, gates int, mayForward func(*recordedConn, []byte) bool, serve func(*checkingServer, net.Conn, *http.Request) bool) *uploadSite {
 	t.Helper()
 	s := &uploadSite{cluster: newCluster(t, 1).start()}
-	s.front = s.addNodeWith(nodeSetup{dataCenter: "dc-a", env: env})
+	s.front = s.addNodeWith(nodeOptions{dataCenter: "dc-a", env: env})
 	for range gates {
-		k := newTap(t, passes)
-		n := s.addNodeWith(nodeSetup{dataCenter: "dc-a", before: k.before})
-		server := scripted(t, serve)
-		announce(t, n, server.Addr().String())
-		s.taps, s.servers = append(s.taps, k), append(s.servers, server)
+		proxy := newRecordingProxy(t, mayForward)
+		n := s.addNodeWith(nodeOptions{dataCenter: "dc-a", interposePeer: proxy.interpose})
+		server := startScriptedServer(t, serve)
+		keepAnnounced(t, n, server.Addr().String())
+		s.proxies, s.servers = append(s.proxies, proxy), append(s.servers, server)
 	}
-	s.submit(uploadsEstate)
-	// A node learns of a service's endpoints once it is asked for the service.
-	s.front.serves(t, "pay")
-	s.front.knows(t, gates)
+	s.submit(retryingEstate)
+	// A node learns the endpoints of a service only after a request for the service.
+	s.front.waitServing(t, "pay")
+	s.front.waitEndpoints(t, gates)
 	return s
 }
 
-// wrong is what the backend servers complain of.
-func (s *uploadSite) wrong() string {
+// failures returns the failures recorded by the backend servers.
+func (s *uploadSite) failures() string {
 	var list []string
 	for _, server := range s.servers {
 		server.mu.Lock()
-		list = append(list, server.wrong...)
+		list = append(list, server.failures...)
 		server.mu.Unlock()
 	}
 	return strings.Join(list, "\n")
 }
 
-// head is a request's head for an upload.
-func head(method, path string, fields ...string) string {
+// requestHead returns the head of an upload request.
+func requestHead(method, path string, fields ...string) string {
 	return method + " " + path + " HTTP/1.1\r\nHost: pay.example\r\n" + strings.Join(fields, "\r\n") + "\r\n\r\n"
 }
 
-func withLength(n int) string { return "Content-Length: " + strconv.Itoa(n) }
+func contentLength(n int) string { return "Content-Length: " + strconv.Itoa(n) }
 
-const withoutLength = "Transfer-Encoding: chunked"
+const chunkedEncoding = "Transfer-Encoding: chunked"
 
-// dial opens a caller's connection that ends with the test.
-func (n *nodeProc) dial(t *testing.T) net.Conn {
+// dial opens a caller connection that is closed at the end of the test.
+func (n *nodeProcess) dial(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", n.callers)
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
-	assert.NilError(t, c.SetDeadline(time.Now().Add(patience)))
+	assert.NilError(t, c.SetDeadline(time.Now().Add(waitTimeout)))
 	return c
 }
 
-// firstAttempts knows which connection between nodes carried an upload first.
+// firstAttempts records which connection between nodes carried an upload first.
 type firstAttempts struct {
-	mu   sync.Mutex
-	conn map[string]*tapped
-	runs map[string]int
+	mu    sync.Mutex
+	conns map[string]*recordedConn
+	runs  map[string]int
 }
 
-func (f *firstAttempts) carries(c *tapped, path string) bool {
+func (f *firstAttempts) isFirstConn(c *recordedConn, path string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.conn[path] == nil {
-		f.conn[path] = c
+	if f.conns[path] == nil {
+		f.conns[path] = c
 	}
-	return f.conn[path] == c
+	return f.conns[path] == c
 }
 
-// run counts a request that came to a backend server, and tells whether it is the first.
-func (f *firstAttempts) run(path string) bool {
+// isFirstRun counts a request received by a backend server and reports whether it is the first.
+func (f *firstAttempts) isFirstRun(path string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.runs[path]++
 	return f.runs[path] == 1
 }
 
-// A caller uploads a body, and the first server resets the connection under it. The
-// caller's node reads two things at once: that the gate wants the body, and that the
-// attempt was lost. On one processor the goroutine that sends the body for the first
-// attempt starts only when the second attempt is under way. Whatever it then took out
-// of the caller's body would be missing in what the second server gets.
+// Guards against bodies with missing bytes in a second attempt. The first server resets the
+// connection, and the caller's node reads two things at once: that the gate requests the body, and
+// that the attempt was lost. With one processor the goroutine that sends the body for the first
+// attempt starts only when the second attempt is in progress. Any bytes that it then reads from the
+// caller's body would be missing at the second server.
 func TestSecondAttemptSendsTheWholeBody(t *testing.T) {
 	const uploads = 20
-	first := &firstAttempts{conn: map[string]*tapped{}, runs: map[string]int{}}
-	asked := &signals{}
-	passes := func(c *tapped, waiting []byte) bool {
+	first := &firstAttempts{conns: map[string]*recordedConn{}, runs: map[string]int{}}
+	continued := &events{}
+	mayForward := func(c *recordedConn, waiting []byte) bool {
 		path := c.lastPath(http.MethodPut)
-		if path == "" || !first.carries(c, path) {
+		if path == "" || !first.isFirstConn(c, path) {
 			return true
 		}
-		if asks(waiting) {
-			asked.give(path)
+		if isContinue(waiting) {
+			continued.fire(path)
 		}
-		return endsHead(waiting)
+		return hasHeadAfterContinue(waiting)
 	}
 	serve := func(s *checkingServer, c net.Conn, req *http.Request) bool {
-		if first.run(req.URL.Path) {
-			<-asked.of(req.URL.Path)
+		if first.isFirstRun(req.URL.Path) {
+			<-continued.channel(req.URL.Path)
 			_ = c.(*net.TCPConn).SetLinger(0)
 			return false
 		}
 		id, _ := strconv.Atoi(strings.TrimPrefix(req.URL.Path, "/upload/"))
-		if !s.check(req.Body, id, uploadLength) {
+		if !s.checkBody(req.Body, id, uploadLength) {
 			return false
 		}
-		_, err := io.WriteString(c, shortAnswer)
+		_, err := io.WriteString(c, shortResponse)
 		return err == nil
 	}
-	s := newUploadSite(t, oneProcessor, 2, passes, serve)
+	s := newUploadSite(t, singleProcessorEnv, 2, mayForward, serve)
 	answered := 0
 	for id := 1; id <= uploads; id++ {
-		if uploadAtOnce(t, s.front, id, id%2 == 0) == http.StatusOK {
+		if uploadWithoutContinue(t, s.front, id, id%2 == 0) == http.StatusOK {
 			answered++
 		}
 	}
-	assert.Equal(t, s.wrong(), "")
-	whole := s.servers[0].bodies.Load() + s.servers[1].bodies.Load()
-	t.Logf("%d of %d uploads came whole", whole, uploads)
-	assert.Equal(t, int(whole), answered)
-	assert.Assert(t, whole >= uploads/2, "only %d of %d uploads came whole with the second attempt", whole, uploads)
+	assert.Equal(t, s.failures(), "")
+	complete := s.servers[0].completeBodies.Load() + s.servers[1].completeBodies.Load()
+	t.Logf("%d of %d uploads complete", complete, uploads)
+	assert.Equal(t, int(complete), answered)
+	assert.Assert(t, complete >= uploads/2, "only %d of %d uploads complete after a second attempt", complete, uploads)
 }
 
-// uploadAtOnce sends the body without being asked, and returns the answer's status or
-// 0 if none came.
-func uploadAtOnce(t *testing.T, n *nodeProc, id int, chunked bool) int {
+// uploadWithoutContinue sends the body without waiting for 100 Continue. It returns the status of
+// the response, or 0 if there is none.
+func uploadWithoutContinue(t *testing.T, n *nodeProcess, id int, chunked bool) int {
 	t.Helper()
 	c := n.dial(t)
 	defer c.Close()
-	framing := withLength(uploadLength)
+	framing := contentLength(uploadLength)
 	if chunked {
-		framing = withoutLength
+		framing = chunkedEncoding
 	}
-	_, _ = io.WriteString(c, head(http.MethodPut, "/upload/"+strconv.Itoa(id), framing))
-	sendAll(c, &patterned{id: id, length: uploadLength}, chunked)
-	resp, _, err := finalAnswer(bufio.NewReader(c), nil)
+	_, _ = io.WriteString(c, requestHead(http.MethodPut, "/upload/"+strconv.Itoa(id), framing))
+	sendAll(c, &patternReader{id: id, length: uploadLength}, chunked)
+	resp, _, err := readFinalResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return 0
 	}
 	return resp.StatusCode
 }
 
-// piece is how much of a body a caller sends at once.
-const piece = 10_000
+// pieceBytes is the size of the pieces in which a caller sends a body.
+const pieceBytes = 10_000
 
 func sendAll(w io.Writer, body io.Reader, chunked bool) {
 	for {
-		b := make([]byte, piece)
+		b := make([]byte, pieceBytes)
 		n, err := io.ReadFull(body, b)
 		if n > 0 && chunked {
 			_, _ = fmt.Fprintf(w, "%x\r\n%s\r\n", n, b[:n])
@@ -199,254 +200,257 @@
 	}
 }
 
-// pipelined is a site where a caller's POST waits behind its own GET, whose answer the
-// test holds; the POST's backend server answers before it has the body.
-type pipelined struct {
+// pipelinedSite is a site where a caller's POST is pipelined after a GET whose response is held
+// back by the test. The backend server responds to the POST before it has received the body.
+type pipelinedSite struct {
 	*uploadSite
-	asked, released, answered *signals
+	continued, released, responded *events
 }
 
-func newPipelined(t *testing.T, answer func(id int) []byte) *pipelined {
+func newPipelinedSite(t *testing.T, response func(id int) []byte) *pipelinedSite {
 	t.Helper()
-	p := &pipelined{asked: &signals{}, released: &signals{}, answered: &signals{}}
-	passes := func(c *tapped, waiting []byte) bool {
-		if asks(waiting) {
-			p.asked.give(c.lastPath(http.MethodPost))
+	p := &pipelinedSite{continued: &events{}, released: &events{}, responded: &events{}}
+	mayForward := func(c *recordedConn, waiting []byte) bool {
+		if isContinue(waiting) {
+			p.continued.fire(c.lastPath(http.MethodPost))
 		}
 		return true
 	}
 	serve := func(s *checkingServer, c net.Conn, req *http.Request) bool {
 		kind, name, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
 		if kind == "held" {
-			<-p.released.of(name)
-			_, err := io.WriteString(c, shortAnswer)
+			<-p.released.channel(name)
+			_, err := io.WriteString(c, shortResponse)
 			return err == nil
 		}
-		// Answered once the gate wants the body: by then the caller's node is to ask for it.
-		<-p.asked.of(req.URL.Path)
+		// Respond once the gate has requested the body: the caller's node then has to send 100
+		// Continue to the caller.
+		<-p.continued.channel(req.URL.Path)
 		id, _ := strconv.Atoi(name)
-		_, _ = c.Write(answer(id))
-		p.answered.give(name)
+		_, _ = c.Write(response(id))
+		p.responded.fire(name)
 		_, err := io.Copy(io.Discard, req.Body)
 		return err == nil
 	}
-	p.uploadSite = newUploadSite(t, nil, 1, passes, serve)
+	p.uploadSite = newUploadSite(t, nil, 1, mayForward, serve)
 	return p
 }
 
-// begin sends both requests and returns when the POST's server has answered.
-func (p *pipelined) begin(t *testing.T, id int) net.Conn {
+// sendRequests sends both requests and returns when the server has responded to the POST.
+func (p *pipelinedSite) sendRequests(t *testing.T, id int) net.Conn {
 	t.Helper()
 	c := p.front.dial(t)
 	name := strconv.Itoa(id)
-	_, err := io.WriteString(c, head(http.MethodGet, "/held/"+name)+head(http.MethodPost, "/early/"+name, withLength(uploadLength), "Expect: 100-continue"))
+	_, err := io.WriteString(c, requestHead(http.MethodGet, "/held/"+name)+requestHead(http.MethodPost, "/early/"+name, contentLength(uploadLength), "Expect: 100-continue"))
 	assert.NilError(t, err)
 	select {
-	case <-p.answered.of(name):
-	case <-time.After(patience):
-		t.Fatalf("request %d: its server never answered", id)
+	case <-p.responded.channel(name):
+	case <-time.After(waitTimeout):
+		t.Fatalf("request %d: no response from the server", id)
 	}
 	return c
 }
 
-// quiet is how long a caller listens for words behind the last answer. A node that
-// says something there says it together with the answer.
-const quiet = 100 * time.Millisecond
+// quietPeriod is how long a caller waits for further bytes after the last response. A node that
+// sends any sends them together with the response.
+const quietPeriod = 100 * time.Millisecond
 
-// read reads what the caller gets: the answer to the GET, then the one to the POST,
-// which must be as its server gave it. It returns the fault, or "", and how often the
-// caller was asked for the body where that is allowed, before the answer.
-func (p *pipelined) read(c net.Conn, want []byte) (fault string, asked int) {
+// readResponses reads the response to the GET and then the response to the POST, which must equal
+// the one sent by the server. It returns a description of the failure, or "", and the number of 100
+// Continue responses at the permitted place, before the response to the POST.
+func (p *pipelinedSite) readResponses(c net.Conn, want []byte) (fault string, continues int) {
 	defer c.Close()
 	r := bufio.NewReader(c)
-	held, asked, err := finalAnswer(r, nil)
+	held, continues, err := readFinalResponse(r, nil)
 	if err != nil {
-		return "the earlier answer: " + err.Error(), 0
+		return "response to the GET: " + err.Error(), 0
 	}
-	if asked > 0 {
-		return "asked for the body before the earlier answer", 0
+	if continues > 0 {
+		return "100 Continue before the response to the GET", 0
 	}
 	if text, err := io.ReadAll(held.Body); err != nil || string(text) != "ok" {
-		return fmt.Sprintf("the earlier answer is %.40q: %v", text, err), 0
+		return fmt.Sprintf("response to the GET is %.40q: %v", text, err), 0
 	}
-	resp, asked, err := finalAnswer(r, nil)
+	resp, continues, err := readFinalResponse(r, nil)
 	if err != nil {
-		return "the answer's head: " + err.Error(), asked
+		return "head of the response: " + err.Error(), continues
 	}
 	text, err := io.ReadAll(resp.Body)
 	if err != nil || resp.StatusCode != http.StatusOK || !bytes.Equal(text, want) {
-		return fmt.Sprintf("the answer: status %d, %d bytes of %d, %v", resp.StatusCode, len(text), len(want), err), asked
+		return fmt.Sprintf("response: status %d, %d bytes of %d, %v", resp.StatusCode, len(text), len(want), err), continues
 	}
-	_ = c.SetReadDeadline(time.Now().Add(quiet))
+	_ = c.SetReadDeadline(time.Now().Add(quietPeriod))
 	if rest, _ := io.ReadAll(r); len(rest) > 0 {
-		return fmt.Sprintf("behind the answer: %.80q", rest), asked
+		return fmt.Sprintf("bytes after the response: %.80q", rest), continues
 	}
-	return "", asked
+	return "", continues
 }
 
-// A caller sends a GET and behind it a POST that waits to be asked for its body. The
-// POST's server answers early while the GET's answer is held, so that two wait for the
-// same turn on the caller's connection: the POST's answer, and the sender of its body,
-// which asks the caller for it. The caller must be asked before the answer's head or
-// not at all: inside the answer or behind it the words spoil what the caller reads.
+// Guards against a 100 Continue that is written inside or after a response and corrupts what the
+// caller reads. A caller pipelines a POST with Expect: 100-continue after a GET. The server
+// responds to the POST early while the response to the GET is held back, so that two goroutines
+// wait to write to the caller's connection: the one with the response to the POST, and the sender
+// of its body, which writes 100 Continue. It must be written before the head of the response or not
+// at all.
 func TestAnswerHoldsNoQuestionForTheBody(t *testing.T) {
 	const (
 		rounds = 30
-		// together is how many callers' turns come at once: on a busy node the answer
-		// and the question come out in either order.
-		together = 8
-		// settle lets the answers come as far as their turns. It makes the fault
-		// likelier; what the callers read must be right without it.
+		// concurrentCallers is the number of callers whose responses are released at once: on a
+		// busy node the response and 100 Continue are written in either order.
+		concurrentCallers = 8
+		// settle lets the responses reach the point where they wait to be written. It makes the
+		// failure more likely; the result must be correct without it.
 		settle = 30 * time.Millisecond
 	)
-	p := newPipelined(t, longAnswer)
-	faults := make([]string, rounds*together)
+	p := newPipelinedSite(t, longResponse)
+	faults := make([]string, rounds*concurrentCallers)
 	for round := range rounds {
 		var conns []net.Conn
-		for i := range together {
-			conns = append(conns, p.begin(t, round*together+i))
+		for i := range concurrentCallers {
+			conns = append(conns, p.sendRequests(t, round*concurrentCallers+i))
 		}
 		time.Sleep(settle)
 		var callers sync.WaitGroup
 		for i, c := range conns {
-			id := round*together + i
-			p.released.give(strconv.Itoa(id))
-			callers.Go(func() { faults[id] = p.question(c, id) })
+			id := round*concurrentCallers + i
+			p.released.fire(strconv.Itoa(id))
+			callers.Go(func() { faults[id] = p.checkLongResponse(c, id) })
 		}
 		callers.Wait()
 	}
 	faults = slices.DeleteFunc(faults, func(s string) bool { return s == "" })
-	assert.Equal(t, len(faults), 0, "%d of %d connections:\n%s", len(faults), rounds*together, strings.Join(faults, "\n"))
+	assert.Equal(t, len(faults), 0, "%d of %d connections:\n%s", len(faults), rounds*concurrentCallers, strings.Join(faults, "\n"))
 }
 
-// longAnswer is longer than what the callers' node holds of an answer.
-func longAnswer(id int) []byte {
+// longResponse exceeds what the callers' node buffers of a response.
+func longResponse(id int) []byte {
 	var b bytes.Buffer
 	b.WriteString("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-	sendAll(&b, &patterned{id: id, length: uploadLength}, true)
+	sendAll(&b, &patternReader{id: id, length: uploadLength}, true)
 	return b.Bytes()
 }
 
-// question reads what a caller gets with a long answer, and returns the fault or "".
-func (p *pipelined) question(c net.Conn, id int) string {
-	want, _ := io.ReadAll(&patterned{id: id, length: uploadLength})
-	fault, asked := p.read(c, want)
-	if fault == "" && asked <= 1 {
+// checkLongResponse reads a long response and returns a description of the failure, or "".
+func (p *pipelinedSite) checkLongResponse(c net.Conn, id int) string {
+	want, _ := io.ReadAll(&patternReader{id: id, length: uploadLength})
+	fault, continues := p.readResponses(c, want)
+	if fault == "" && continues <= 1 {
 		return ""
 	}
-	return fmt.Sprintf("connection %d, asked %d times before the answer: %s", id, asked, fault)
+	return fmt.Sprintf("connection %d, 100 Continue received %d times before the response: %s", id, continues, fault)
 }
 
-// The same with a short answer: the exchange that the body belongs to has ended, and
-// the caller's node has logged its end, before the caller's turn comes. Nobody wants
-// the body any more. A caller that is asked for it all the same would send it, or take
-// the words for a part of what it reads.
+// Guards against a 100 Continue for an exchange that has ended. The response to the POST is short:
+// its exchange has ended, and the caller's node has logged that, before the response may be
+// written. The body is not needed any more. A caller that receives 100 Continue would send the
+// body, or read the interim response as part of something else.
 func TestCallerIsNotAskedOnceTheAttemptEnded(t *testing.T) {
 	const connections = 20
-	p := newPipelined(t, func(int) []byte { return []byte(shortAnswer) })
-	answered := func() int { return strings.Count(p.front.log.String(), `"Answered"`) }
+	p := newPipelinedSite(t, func(int) []byte { return []byte(shortResponse) })
+	loggedResponses := func() int { return strings.Count(p.front.log.String(), `"Answered"`) }
 	var faults []string
 	for id := 1; id <= connections; id++ {
-		// The node buffers its log: without this wait, a delayed line of an earlier
-		// request could be taken for this POST's.
-		eventually(t, "all earlier answers are logged", func() bool {
-			return float64(answered()) == number(p.front.vars(t), "calls_answered")
+		// The node buffers its log. Without this wait, a delayed line of an earlier request could
+		// be mistaken for that of this POST.
+		eventually(t, "all earlier responses are logged", func() bool {
+			return float64(loggedResponses()) == metric(p.front.metrics(t), "calls_answered")
 		})
-		before := answered()
-		c := p.begin(t, id)
-		eventually(t, "the caller's node has the POST's answer", func() bool { return answered() > before })
-		p.released.give(strconv.Itoa(id))
-		if fault, asked := p.read(c, []byte("ok")); fault != "" || asked > 0 {
-			faults = append(faults, fmt.Sprintf("connection %d, asked %d times before the answer: %s", id, asked, fault))
+		before := loggedResponses()
+		c := p.sendRequests(t, id)
+		eventually(t, "the caller's node has the response to the POST", func() bool { return loggedResponses() > before })
+		p.released.fire(strconv.Itoa(id))
+		if fault, continues := p.readResponses(c, []byte("ok")); fault != "" || continues > 0 {
+			faults = append(faults, fmt.Sprintf("connection %d, 100 Continue received %d times before the response: %s", id, continues, fault))
 		}
 	}
 	assert.Equal(t, len(faults), 0, "%d of %d connections:\n%s", len(faults), connections, strings.Join(faults, "\n"))
 }
 
-// longUpload is more than net/http reads over when a handler leaves a body unread.
-const longUpload = 300_000
+// longUploadLength exceeds what net/http discards if a handler leaves a body unread.
+const longUploadLength = 300_000
 
-// A caller uploads slowly, and the backend server answers in the middle. The gate's
-// node still reads the body from the connection to the caller's node: its answer must
-// say that the connection ends, and the caller's node must send no other request on it.
-// Otherwise the rest of a body could pass for a request, or a request for a body.
+// Guards against reuse of a connection between nodes while a body on it is still being read. A
+// caller uploads slowly and the backend server responds before the end of the body. The response of
+// the gate's node must announce the end of the connection, and the caller's node must not send
+// another request on it. Otherwise the rest of the body could be read as a request, or a request as
+// part of the body.
 func TestConnectionBetweenNodesEndsWithAnUnreadBody(t *testing.T) {
 	const uploads = 8
-	s := newUploadSite(t, nil, 1, nil, answersEarly)
+	s := newUploadSite(t, nil, 1, nil, respondEarly)
 	for id := 1; id <= uploads; id++ {
 		uploadSlowly(t, s.front, id, id%2 == 0)
-		s.front.serves(t, "pay")
+		s.front.waitServing(t, "pay")
 	}
 	early := 0
-	for _, c := range s.taps[0].seen("PUT /early/") {
+	for _, c := range s.proxies[0].connsContaining("PUT /early/") {
 		early += checkConnection(t, c)
 	}
-	assert.Equal(t, s.wrong(), "")
-	assert.Assert(t, early >= uploads/2, "only %d of %d uploads were answered before the gate's node had the body", early, uploads)
+	assert.Equal(t, s.failures(), "")
+	assert.Assert(t, early >= uploads/2, "only %d of %d uploads had a response before the gate's node had the body", early, uploads)
 }
 
-// answersEarly reads a part of the body, answers and reads on.
-func answersEarly(s *checkingServer, c net.Conn, req *http.Request) bool {
+// respondEarly reads part of the body, responds and reads the rest.
+func respondEarly(s *checkingServer, c net.Conn, req *http.Request) bool {
 	id, _ := strconv.Atoi(strings.TrimPrefix(req.URL.Path, "/early/"))
-	start := make([]byte, piece)
+	start := make([]byte, pieceBytes)
 	if _, err := io.ReadFull(req.Body, start); err != nil {
 		return false
 	}
-	if _, err := io.WriteString(c, shortAnswer); err != nil {
+	if _, err := io.WriteString(c, shortResponse); err != nil {
 		return false
 	}
-	return s.check(io.MultiReader(bytes.NewReader(start), req.Body), id, longUpload)
+	return s.checkBody(io.MultiReader(bytes.NewReader(start), req.Body), id, longUploadLength)
 }
 
-// uploadSlowly sends half of a body, and the rest once the answer is there.
-func uploadSlowly(t *testing.T, n *nodeProc, id int, chunked bool) {
+// uploadSlowly sends half of a body, and the rest after the response.
+func uploadSlowly(t *testing.T, n *nodeProcess, id int, chunked bool) {
 	t.Helper()
 	c := n.dial(t)
 	defer c.Close()
-	framing := withLength(longUpload)
+	framing := contentLength(longUploadLength)
 	if chunked {
-		framing = withoutLength
+		framing = chunkedEncoding
 	}
-	_, _ = io.WriteString(c, head(http.MethodPut, "/early/"+strconv.Itoa(id), framing))
-	body := &patterned{id: id, length: longUpload}
-	half, _ := io.ReadAll(io.LimitReader(body, longUpload/2))
+	_, _ = io.WriteString(c, requestHead(http.MethodPut, "/early/"+strconv.Itoa(id), framing))
+	body := &patternReader{id: id, length: longUploadLength}
+	half, _ := io.ReadAll(io.LimitReader(body, longUploadLength/2))
 	if chunked {
 		_, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(half), half)
 	} else {
 		_, _ = c.Write(half)
 	}
-	resp, _, err := finalAnswer(bufio.NewReader(c), nil)
+	resp, _, err := readFinalResponse(bufio.NewReader(c), nil)
 	assert.NilError(t, err)
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
 	sendAll(c, body, chunked)
 }
 
-// checkConnection reads what passed on a connection between two nodes. It returns how
-// many uploads on it were answered before the gate's node had the body: 0 or 1, since
-// the connection ends with the first.
-func checkConnection(t *testing.T, c *tapped) int {
+// checkConnection checks the recorded traffic of a connection between two nodes. It returns the
+// number of uploads with a response before the gate's node had the complete body. This is 0 or 1,
+// as the first one must end the connection.
+func checkConnection(t *testing.T, c *recordedConn) int {
 	t.Helper()
-	requests, answers := newPlace(c.sent), newPlace(c.answered)
+	requests, responses := newOffsetReader(c.requests), newOffsetReader(c.responses)
 	for {
 		req, err := http.ReadRequest(requests.Reader)
 		if err != nil {
 			return 0
 		}
 		body, bodyErr := io.ReadAll(req.Body)
-		resp, _, err := finalAnswer(answers.Reader, req)
+		resp, _, err := readFinalResponse(responses.Reader, req)
 		if err != nil {
 			return 0
 		}
 		name, upload := strings.CutPrefix(req.URL.Path, "/early/")
 		if upload {
 			id, _ := strconv.Atoi(name)
-			want, _ := io.ReadAll(&patterned{id: id, length: len(body)})
-			assert.Assert(t, bytes.Equal(body, want), "upload %d: the body between the nodes is not its own", id)
+			want, _ := io.ReadAll(&patternReader{id: id, length: len(body)})
+			assert.Assert(t, bytes.Equal(body, want), "upload %d: wrong body between the nodes", id)
 		}
-		if upload && (bodyErr != nil || c.sentBefore(answers.at()-1) < requests.at()) {
-			assert.Assert(t, resp.Close, "%s was answered before its body was there, and the answer does not end the connection: %v", req.URL.Path, resp.Header)
+		if upload && (bodyErr != nil || c.requestBytesBefore(responses.offset()-1) < requests.offset()) {
+			assert.Assert(t, resp.Close, "%s: response before the end of the body without Connection: close: %v", req.URL.Path, resp.Header)
 			rest, _ := io.ReadAll(requests)
-			assert.Equal(t, len(rest), 0, "behind %s on the same connection: %.200q", req.URL.Path, rest)
+			assert.Equal(t, len(rest), 0, "bytes after %s on the same connection: %.200q", req.URL.Path, rest)
 			return 1
 		}
 		_, err = io.Copy(io.Discard, resp.Body)
@@ -454,51 +458,51 @@
 	}
 }
 
-// The same for a node that sends a body without waiting to be asked, as nodes of other
-// versions may: net/http, which the gate's node listens by, ends the connection of its
-// own accord only where the body was to be asked for. The test speaks as such a node.
+// Guards against the same failure with a node that sends a body without waiting for 100 Continue,
+// as nodes of other versions may: the net/http server of the gate's node closes the connection by
+// itself only if the request has Expect: 100-continue. The test acts as such a node.
 func TestConnectionEndsWithAnUnreadBodyThatNobodyAskedFor(t *testing.T) {
-	s := newUploadSite(t, nil, 1, nil, answersEarly)
+	s := newUploadSite(t, nil, 1, nil, respondEarly)
 	uploadSlowly(t, s.front, 1, false)
-	conns := s.taps[0].seen("PUT /early/1 ")
+	conns := s.proxies[0].connsContaining("PUT /early/1 ")
 	assert.Equal(t, len(conns), 1)
-	at := bytes.Index(conns[0].sent, []byte("PUT /early/1 "))
-	model, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(conns[0].sent[at:])))
+	at := bytes.Index(conns[0].requests, []byte("PUT /early/1 "))
+	template, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(conns[0].requests[at:])))
 	assert.NilError(t, err)
 	for attempt := range uint32(8) {
-		speakAsNode(t, s.taps[0].to, model.Header, attempt)
+		actAsNode(t, s.proxies[0].target, template.Header, attempt)
 	}
-	assert.Equal(t, s.wrong(), "")
+	assert.Equal(t, s.failures(), "")
 }
 
-// speakAsNode sends half of a body, reads the answer, and sends the rest with another
-// request behind it, which must not be answered.
-func speakAsNode(t *testing.T, gate string, model http.Header, attempt uint32) {
+// actAsNode sends half of a body, reads the response, and then sends the rest followed by another
+// request, which must not be handled.
+func actAsNode(t *testing.T, gate string, template http.Header, attempt uint32) {
 	t.Helper()
-	request, err := hop.ParseRequest(model.Get(hop.Header))
+	request, err := hop.ParseRequest(template.Get(hop.Header))
 	assert.NilError(t, err)
-	fields := func() []string {
+	headerFields := func() []string {
 		request.ID.Attempt++
-		return []string{hop.Header + ": " + request.Encode(), hop.ServiceHeader + ": " + model.Get(hop.ServiceHeader)}
+		return []string{hop.Header + ": " + request.Encode(), hop.ServiceHeader + ": " + template.Get(hop.ServiceHeader)}
 	}
 	request.ID.Attempt += 100 * (attempt + 1)
 	c, err := net.Dial("tcp", gate)
 	assert.NilError(t, err)
 	defer c.Close()
-	assert.NilError(t, c.SetDeadline(time.Now().Add(patience)))
-	_, err = io.WriteString(c, head(http.MethodPut, "/early/1", append(fields(), withLength(longUpload))...))
+	assert.NilError(t, c.SetDeadline(time.Now().Add(waitTimeout)))
+	_, err = io.WriteString(c, requestHead(http.MethodPut, "/early/1", append(headerFields(), contentLength(longUploadLength))...))
 	assert.NilError(t, err)
-	body := &patterned{id: 1, length: longUpload}
-	sendAll(c, io.LimitReader(body, longUpload/2), false)
+	body := &patternReader{id: 1, length: longUploadLength}
+	sendAll(c, io.LimitReader(body, longUploadLength/2), false)
 	r := bufio.NewReader(c)
-	resp, _, err := finalAnswer(r, nil)
+	resp, _, err := readFinalResponse(r, nil)
 	assert.NilError(t, err)
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
-	assert.Assert(t, resp.Close, "the answer does not end the connection: %v", resp.Header)
+	assert.Assert(t, resp.Close, "response without Connection: close: %v", resp.Header)
 	_, err = io.Copy(io.Discard, resp.Body)
 	assert.NilError(t, err)
 	sendAll(c, body, false)
-	_, _ = io.WriteString(c, head(http.MethodGet, "/", fields()...))
-	another, _, err := finalAnswer(r, nil)
-	assert.Assert(t, err != nil, "another request was answered on the connection: %v", another)
+	_, _ = io.WriteString(c, requestHead(http.MethodGet, "/", headerFields()...))
+	another, _, err := readFinalResponse(r, nil)
+	assert.Assert(t, err != nil, "response to another request on the connection: %v", another)
 }
--- a/internal/e2e/centers_test.go
+++ b/internal/e2e/centers_test.go
@@ -12,9 +12,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Two data centres, as processes. A caller in one reaches a service that has its
-// only endpoint in the other; the relays of that data centre are then killed,
-// and the caller must still be answered and changes come into force.
+// Guards against requests and changes that depend on single relays. A caller in one data centre
+// uses a service whose only endpoint is in the other data centre. After the relays of the caller's
+// data centre are killed, its requests must still be served and changes must still come into force.
 func TestTwoDataCentersAndTheirRelays(t *testing.T) {
 	c := newCluster(t, 1).start()
 	for range 7 {
@@ -23,16 +23,16 @@
 	far := c.addNodeIn("dc-b", "deep")
 	c.submit(estateText("two centres", "deep"))
 	for _, n := range c.nodes {
-		n.serves(t, "deep")
+		n.waitServing(t, "deep")
 	}
 	killed := 0
 	for _, n := range c.nodes {
-		if n != far && n.vars(t)["directory_acts_as_relay"].(bool) {
+		if n != far && n.metrics(t)["directory_acts_as_relay"].(bool) {
 			n.kill()
 			killed++
 		}
 	}
-	// A third relay may have been made while the first two were slow to start.
+	// A third relay may have been appointed if the first two were slow to start.
 	assert.Assert(t, killed >= 2 && killed < 6, "%d relays of 7 nodes", killed)
 	revision := c.submitOnly(t, estateText("after the relays", "deep", "more"))
 	for _, n := range c.nodes {
@@ -41,14 +41,14 @@
 			continue
 		default:
 		}
-		eventually(t, n.host+" holds the newest", func() bool { return n.revision(t) == revision })
-		n.serves(t, "deep")
+		eventually(t, n.host+" has the latest revision", func() bool { return n.revision(t) == revision })
+		n.waitServing(t, "deep")
 	}
 }
 
-// A backend server stalls with every slot taken. Requests that its gate holds
-// or gets must go to the sibling while it is stalled; those inside it are
-// answered once it goes on. None is lost and none runs twice.
+// Guards against a stalled backend server that delays requests of other servers. It stalls with all
+// slots in use. Requests queued at its gate or arriving there must be moved to the other server.
+// Those already running are completed when it resumes. No request may be lost or executed twice.
 func TestStalledBackendHoldsUpNobodyElse(t *testing.T) {
 	c := newCluster(t, 1).start()
 	one := c.addNode("")
@@ -56,8 +56,8 @@
 	c.addNode("work")
 	front := c.addNode("")
 	c.submit(estateText("work", "work"))
-	front.serves(t, "work")
-	front.knows(t, 2)
+	front.waitServing(t, "work")
+	front.waitEndpoints(t, 2)
 	stalled.freeze(t)
 	const requests, slots = 16, 4
 	var answered atomic.Int64
@@ -70,7 +70,7 @@
 			}
 		})
 	}
-	eventually(t, "all but the stalled slots are answered", func() bool { return answered.Load() >= requests-slots })
+	eventually(t, "all requests outside the stalled slots are served", func() bool { return answered.Load() >= requests-slots })
 	stalled.signal(syscall.SIGCONT)
 	wait.Wait()
 	assert.Equal(t, answered.Load(), int64(requests))
--- a/internal/e2e/control_test.go
+++ b/internal/e2e/control_test.go
@@ -18,13 +18,13 @@
 	"cactuspath/internal/operator"
 )
 
-// Operators submit one change after another while the leader is killed again
-// and again, at whatever stage a submit is in; each resends under the same id
-// until it hears an outcome. Every change must end with one outcome, accepted
-// ones with revisions that only grow, and no change may be applied twice.
+// Guards against lost and duplicated changes when the leader fails in any phase of a submit.
+// Control replicas are killed repeatedly while one change after another is submitted, and each
+// submit is repeated with the same ID until its outcome is known. Every change must have exactly
+// one outcome, with increasing revisions, and no change may be applied twice.
 func TestLeaderKilledAtAnyStageOfSubmits(t *testing.T) {
 	c := newCluster(t, 3).start()
-	ctx := contextOf(t)
+	ctx := testContext(t)
 	c.leader()
 	stop := make(chan struct{})
 	var chaos sync.WaitGroup
@@ -62,43 +62,43 @@
 	}
 }
 
-// The leader is frozen for longer than an election takes and comes back
-// believing that it leads. It must not answer with the revision it knew, and
-// changes that went on meanwhile must stand.
+// Guards against stale reads from a deposed leader. The leader is frozen for longer than an
+// election takes and still believes that it is the leader when it resumes. It must not respond with
+// its old revision, and changes accepted in the meantime must be preserved.
 func TestFrozenLeaderComesBack(t *testing.T) {
 	c := newCluster(t, 3).start()
-	ctx := contextOf(t)
+	ctx := testContext(t)
 	first, err := c.client.Submit(ctx, []byte(estateText("first", "hello")), 0, "first")
 	assert.NilError(t, err)
-	old := c.leader()
-	c.replicas[old].freeze(t)
+	frozen := c.leader()
+	c.replicas[frozen].freeze(t)
 	second, err := c.client.Submit(ctx, []byte(estateText("second", "hello", "more")), first.Revision, "second")
 	assert.NilError(t, err)
-	c.replicas[old].signal(syscall.SIGCONT)
-	alone := &operator.Client{Control: controlclient.New(nil, []string{c.control[old]}, "")}
-	shown, err := alone.Show(ctx, "trial")
+	c.replicas[frozen].signal(syscall.SIGCONT)
+	frozenOnly := &operator.Client{Control: controlclient.New(nil, []string{c.controlAddresses[frozen]}, "")}
+	shown, err := frozenOnly.Show(ctx, "trial")
 	assert.NilError(t, err)
 	assert.Equal(t, shown.Revision, second.Revision)
 	assert.Assert(t, strings.Contains(string(shown.Text), "// second"))
 }
 
-// A replica loses its data folder. Started again with an empty one it waits, as
-// a new member without a vote. It is admitted in place of its former self, and
-// right after that a second replica is lost: changes must still be possible.
+// Guards against a replica with a lost disk that votes as its former self. Restarted with an empty
+// data folder it waits as a new member without a vote. After it has been admitted in place of the
+// former member, a second replica is lost: changes must still be accepted.
 func TestLostDiskReturnsAsNewMemberThenSecondLoss(t *testing.T) {
 	c := newCluster(t, 3).start()
-	ctx := contextOf(t)
+	ctx := testContext(t)
 	first, err := c.client.Submit(ctx, []byte(estateText("first", "hello")), 0, "first")
 	assert.NilError(t, err)
 	lost := (c.leader() + 1) % 3
 	c.replicas[lost].kill()
 	assert.NilError(t, os.RemoveAll(c.dataFolder(lost)))
-	code, out := c.run("cactuspath", "init", "--settings", c.replicaFile(lost))
+	code, out := c.run("cactuspath", "init", "--settings", c.replicaSettingsFile(lost))
 	assert.Equal(t, code, 1, out)
 	assert.Assert(t, strings.Contains(out, "cactusctl replica replace"), out)
 	c.replicas[lost].start(t)
-	eventually(t, "the empty replica answers", func() bool { return waitingMember(c, lost) })
-	code, out = c.ctl("replica", "replace", fmt.Sprintf("control-%d", lost+1), c.control[lost])
+	eventually(t, "the empty replica responds", func() bool { return awaitsAdmission(c, lost) })
+	code, out = c.ctl("replica", "replace", fmt.Sprintf("control-%d", lost+1), c.controlAddresses[lost])
 	assert.Equal(t, code, 0, out)
 	assert.Equal(t, strings.Count(out, "voter"), 3, out)
 	second := (lost + 1) % 3
@@ -108,25 +108,25 @@
 	assert.Equal(t, record.Revision, first.Revision+1)
 }
 
-func waitingMember(c *cluster, i int) bool {
+func awaitsAdmission(c *cluster, i int) bool {
 	client := controlclient.New(nil, nil, "")
-	resp, err := client.At(c.control[i]).Log.LogStatus(contextOf(c.t), logStatusRequest())
+	resp, err := client.At(c.controlAddresses[i]).Log.LogStatus(testContext(c.t), logStatusRequest())
 	return err == nil && !resp.Msg.Admitted
 }
 
-// Three operators submit different texts based on the same revision, each
-// resending as after lost answers. One is accepted; the others get a conflict,
-// and the same one however often they ask.
+// Guards against conflicting submits that are both accepted. Three operators submit different texts
+// with the same base revision, each repeatedly, as after lost responses. One must be accepted. The
+// others must get a conflict, and the same one for every repetition.
 func TestOperatorsRaceWithEqualBases(t *testing.T) {
 	c := newCluster(t, 3).start()
-	ctx := contextOf(t)
+	ctx := testContext(t)
 	const operators, resends = 3, 4
 	outcomes := make([][resends]int, operators)
 	var wait sync.WaitGroup
 	for i := range operators {
 		for j := range resends {
 			wait.Go(func() {
-				client := &operator.Client{Control: controlclient.New(nil, c.control, ""), Name: fmt.Sprintf("operator-%d", i)}
+				client := &operator.Client{Control: controlclient.New(nil, c.controlAddresses, ""), Name: fmt.Sprintf("operator-%d", i)}
 				_, err := client.Submit(ctx, []byte(estateText(fmt.Sprintf("by %d", i), "hello")), 0, fmt.Sprintf("race-%d", i))
 				outcomes[i][j] = operator.ExitCode(err)
 			})
@@ -136,7 +136,7 @@
 	won := 0
 	for i := range operators {
 		for j := range resends {
-			assert.Equal(t, outcomes[i][j], outcomes[i][0], "operator %d got different answers", i)
+			assert.Equal(t, outcomes[i][j], outcomes[i][0], "operator %d got different outcomes", i)
 		}
 		switch outcomes[i][0] {
 		case operator.ExitDone:
@@ -148,12 +148,12 @@
 	assert.Equal(t, won, 1)
 }
 
-// A byte in the middle of a replica's log changes on disk. The replica must not
-// start: what it would have forgotten could be a vote or an accepted change.
-// The message names the remedy.
+// Guards against a replica that starts with a corrupted log and thereby forgets a vote or an
+// accepted change. After one byte of the log has changed on disk, the replica must not start, and
+// its error message must contain the remedy.
 func TestDamagedLogStopsTheReplica(t *testing.T) {
 	c := newCluster(t, 1).start()
-	_, err := c.client.Submit(contextOf(t), []byte(estateText("first", "hello")), 0, "first")
+	_, err := c.client.Submit(testContext(t), []byte(estateText("first", "hello")), 0, "first")
 	assert.NilError(t, err)
 	c.replicas[0].kill()
 	file := filepath.Join(c.dataFolder(0), "log")
@@ -161,20 +161,21 @@
 	assert.NilError(t, err)
 	data[len(data)/2] ^= 0x40
 	assert.NilError(t, os.WriteFile(file, data, 0o600))
-	code, out := c.run("cactuspath", "run", "--settings", c.replicaFile(0))
+	code, out := c.run("cactuspath", "run", "--settings", c.replicaSettingsFile(0))
 	assert.Equal(t, code, 1)
 	assert.Assert(t, strings.Contains(out, "is damaged at byte"), out)
 	assert.Assert(t, strings.Contains(out, "cactusctl replica replace"), out)
 }
 
-// A node is down while 300 changes go by. When it is back it must hold the
-// newest at once, and at no moment show one that is older than what it showed.
+// Guards against nodes that return to an old revision after a restart. A node is down during 300
+// changes. After its restart it must reach the latest revision and never report an older one than
+// before.
 func TestNodeRejoinsAfterHundredsOfChanges(t *testing.T) {
 	c := newCluster(t, 1).start()
 	n := c.addNode("")
 	c.submit(estateText("first", "hello"))
 	n.kill()
-	ctx := contextOf(t)
+	ctx := testContext(t)
 	base := uint64(1)
 	for i := range 300 {
 		record, err := c.client.Submit(ctx, []byte(estateText(fmt.Sprint("change ", i), fmt.Sprintf("service-%d", i%7))), base, fmt.Sprintf("c-%d", i))
@@ -183,27 +184,28 @@
 	}
 	n.start(t)
 	seen := uint64(0)
-	eventually(t, "the node holds the newest revision", func() bool {
-		if !answers(n) {
+	eventually(t, "the node has the latest revision", func() bool {
+		if !adminResponds(n) {
 			return false
 		}
 		now := n.revision(t)
-		assert.Assert(t, now >= seen, "went back from %d to %d", seen, now)
+		assert.Assert(t, now >= seen, "revision decreased from %d to %d", seen, now)
 		seen = now
 		return now == base
 	})
 }
 
-// No replica can be reached: the operator must hear that within the timeout,
-// with an exit code of its own, and nothing must be claimed about the change.
+// If no replica is reachable, the command must fail within its timeout with a separate exit code
+// and must not state anything about the change.
 func TestUnreachableControlHasItsOwnExitCode(t *testing.T) {
 	c := newCluster(t, 1)
-	code, out := c.run("cactusctl", "--control", c.control[0], "--timeout", "2s", "submit", "--base", "0", c.estateFile("e.jsonc", estateText("x", "hello")))
+	code, out := c.run("cactusctl", "--control", c.controlAddresses[0], "--timeout", "2s", "submit", "--base", "0", c.estateFile("e.jsonc", estateText("x", "hello")))
 	assert.Equal(t, code, operator.ExitUnreachable, out)
 }
 
-// A majority is lost in the middle of a submit. The answer must be "unknown"
-// or "unreachable" with the way to find out, never "accepted" or "refused".
+// Guards against a definite outcome for a submit during which the majority was lost. The outcome
+// must be "unknown" or "unreachable", with the command that resolves it, and never "accepted" or
+// "refused".
 func TestLostMajorityLeavesOutcomeOpen(t *testing.T) {
 	c := newCluster(t, 3).start()
 	l := c.leader()
@@ -221,16 +223,16 @@
 	for i := range c.replicas {
 		c.replicas[i].signal(syscall.SIGCONT)
 	}
-	record, err := c.client.Submit(contextOf(t), []byte(estateText("x", "hello")), 0, "open")
+	record, err := c.client.Submit(testContext(t), []byte(estateText("x", "hello")), 0, "open")
 	assert.NilError(t, err)
 	assert.Equal(t, record.Revision, uint64(1))
 }
 
-// The leader's process is told to stop. It hands the lead over and exits 0, and
-// operators go on without a pause that they would notice.
+// Guards against an interruption when the leader stops gracefully. It must transfer its leadership
+// and exit with code 0, and operators must be able to continue without a noticeable delay.
 func TestControlReplicaStopsAsPlanned(t *testing.T) {
 	c := newCluster(t, 3).start()
-	ctx := contextOf(t)
+	ctx := testContext(t)
 	first, err := c.client.Submit(ctx, []byte(estateText("first", "hello")), 0, "first")
 	assert.NilError(t, err)
 	l := c.leader()
@@ -242,23 +244,22 @@
 	assert.Equal(t, c.replicas[l].cmd.ProcessState.ExitCode(), 0, c.replicas[l].log.String())
 }
 
-// Two of three control replicas are gone, so that no leader can be chosen, and then
-// a node is killed and started again. It must serve its callers by what the other
-// nodes hold: the replica that is left knows who has announced itself, and a
-// restart must not wait until a leader is back.
+// Guards against nodes that cannot restart without a leader. Two of three control replicas are
+// killed, so that no leader can be elected, and then a node is killed and restarted. It must serve
+// its callers with the state held by other nodes, which it finds through the remaining replica.
 func TestNodeRestartsWhileThereIsNoLeader(t *testing.T) {
 	c := newCluster(t, 3)
-	c.watch = true
+	c.watchControl = true
 	c.start()
 	c.addNode("hello")
 	c.addNode("hello")
 	front := c.addNode("")
 	revision := c.submit(estateText("hello", "hello"))
-	front.serves(t, "hello")
+	front.waitServing(t, "hello")
 	leader := c.leader()
 	c.replicas[leader].kill()
 	c.replicas[(leader+1)%3].kill()
 	front.restart(t)
-	front.serves(t, "hello")
+	front.waitServing(t, "hello")
 	assert.Equal(t, front.revision(t), revision)
 }
--- a/internal/e2e/crash_site_test.go
+++ b/internal/e2e/crash_site_test.go
@@ -14,93 +14,98 @@
 	"gotest.tools/v3/assert"
 )
 
-// A site whose backend servers crash under some requests.
+// These constants describe a site whose backend servers crash under certain requests.
 
 const (
-	// contact is how long all nodes may take to hear that a request ended three servers,
-	// and mostLater how often it may reach servers after that: the users' terms.
-	contact   = 3 * time.Second
-	mostLater = 3
-	// crashes is under how many servers a request may end before it is one to keep away.
-	crashes = 3
-	// downFor is how long a server that crashed takes to be back.
-	downFor = 400 * time.Millisecond
-	// crashAfter is how long a fatal request runs.
-	crashAfter = 15 * time.Millisecond
-	// harmlessWork is how long any other one runs.
-	harmlessWork = 10 * time.Millisecond
+	// propagationTime is the time within which all nodes must learn that a request has crashed
+	// three servers. maxLateArrivals is how often it may reach servers after that. Both are
+	// requirements of the users.
+	propagationTime = 3 * time.Second
+	maxLateArrivals = 3
+	// crashThreshold is the number of servers that a request may crash before nodes must keep it
+	// away from servers.
+	crashThreshold = 3
+	// restartDelay is how long a crashed server takes to restart.
+	restartDelay = 400 * time.Millisecond
+	// crashDelay is how long a fatal request runs before it crashes the server.
+	crashDelay = 15 * time.Millisecond
+	// processingTime is the duration of all other requests.
+	processingTime = 10 * time.Millisecond
 )
 
-// fatal is a request that crashes any server which begins to run it.
-type fatal struct {
+// fatalRequest is a request that crashes every server that executes it.
+type fatalRequest struct {
 	method, path string
 	body         string
 	chunked      bool
 }
 
-// crashSite is a site whose servers crash under fatal requests. Safe for concurrent use.
+// crashSite is a site whose servers crash under fatal requests. It is safe for concurrent use.
 type crashSite struct {
 	*cluster
 	servers []*crashServer
 
-	mu     sync.Mutex
-	fatals []*fatalRecord
+	mu      sync.Mutex
+	records []*fatalRecord
 }
 
-// fatalRecord is what became of a fatal request.
+// fatalRecord is the history of a fatal request.
 type fatalRecord struct {
-	fatal
-	// ends are when it ended a server, arrivals when it came to one.
-	ends     []time.Time
-	arrivals []arrival
+	fatalRequest
+	// crashTimes contains the times at which the request crashed a server, and arrivals its
+	// arrivals at servers.
+	crashTimes []time.Time
+	arrivals   []arrival
 }
 
 type arrival struct {
 	at   time.Time
-	node *nodeProc
-	// calmFor is for how long the node beside the server had been left alone.
-	calmFor time.Duration
+	node *nodeProcess
+	// undisturbedFor is how long the server's node had been undisturbed.
+	undisturbedFor time.Duration
 }
 
-// later counts the arrivals beside nodes in touch that came after all could know.
-func (r *fatalRecord) later() (count int) {
-	if len(r.ends) < crashes {
+// lateArrivals counts the arrivals at undisturbed nodes after the propagation time.
+func (r *fatalRecord) lateArrivals() (count int) {
+	if len(r.crashTimes) < crashThreshold {
 		return 0
 	}
 	for _, a := range r.arrivals {
-		if a.at.Sub(r.ends[crashes-1]) > contact && a.calmFor > contact {
+		if a.at.Sub(r.crashTimes[crashThreshold-1]) > propagationTime && a.undisturbedFor > propagationTime {
 			count++
 		}
 	}
 	return count
 }
 
-// crashServer is a backend server that comes back, as another instance, after a crash.
+// crashServer is a backend server that restarts as a new instance after a crash.
 type crashServer struct {
-	site  *crashSite
-	node  *nodeProc
-	at    string
-	mu    sync.Mutex
-	l     net.Listener
-	conns map[net.Conn]bool
-	life  int
-	ended bool
-	// leftAlone is since when nothing befell the node beside it.
-	leftAlone time.Time
+	site       *crashSite
+	node       *nodeProcess
+	address    string
+	mu         sync.Mutex
+	listener   net.Listener
+	conns      map[net.Conn]bool
+	generation int
+	stopped    bool
+	// undisturbedSince is the end of the last fault of the server's node. It is in the future
+	// during a fault.
+	undisturbedSince time.Time
 }
 
-// calmFor is for how long nothing has befallen the node.
-func (b *crashServer) calmFor() time.Duration {
+// undisturbedFor returns how long the node has been undisturbed, or a negative duration during a
+// fault.
+func (b *crashServer) undisturbedFor() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return time.Since(b.leftAlone)
+	return time.Since(b.undisturbedSince)
 }
 
-// disturbed notes that something befalls the node until a time.
-func (b *crashServer) disturbed(until time.Time) {
+// setUndisturbedSince sets the end of a fault of the node.
+func (b *crashServer) setUndisturbedSince(since time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.leftAlone = until
+	b.undisturbedSince = since
 }
 
 const crashEstate = `{"institution": "trial", "terms": {"retryPercent": 20}, "services": {"pay": {"slots": 8, "queue": 20}}, "routes": {
@@ -110,31 +115,33 @@
 func newCrashSite(t *testing.T, servers int) *crashSite {
 	t.Helper()
 	s := &crashSite{cluster: newCluster(t, 1).start()}
-	s.watch = true
+	s.watchControl = true
 	for i := range servers {
 		n := s.addNodeIn([]string{"dc-a", "dc-b"}[i%2], "")
 		b := &crashServer{site: s, node: n, conns: map[net.Conn]bool{}}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
-		b.at = l.Addr().String()
-		b.begin(l)
+		b.address = l.Addr().String()
+		b.start(l)
 		s.servers = append(s.servers, b)
 		stop := make(chan struct{})
-		t.Cleanup(func() { close(stop); b.end() })
+		t.Cleanup(func() { close(stop); b.stop() })
 		go b.announce(stop)
 	}
 	s.submit(crashEstate)
 	for _, n := range s.nodes {
-		eventually(t, n.host+" serves", func() bool { return s.send(n, fatal{method: http.MethodGet, path: "/read/ping"}) == http.StatusOK })
+		eventually(t, n.host+" serves", func() bool {
+			return s.send(n, fatalRequest{method: http.MethodGet, path: "/read/ping"}) == http.StatusOK
+		})
 	}
 	return s
 }
 
-// begin has the server listen, as a new start.
-func (b *crashServer) begin(l net.Listener) {
+// start serves connections of the listener as a new instance.
+func (b *crashServer) start(l net.Listener) {
 	b.mu.Lock()
-	b.l, b.ended = l, false
-	b.life++
+	b.listener, b.stopped = l, false
+	b.generation++
 	b.mu.Unlock()
 	go func() {
 		for {
@@ -150,15 +157,16 @@
 	}()
 }
 
-// end takes the server away: its port refuses connections, those it had break off.
-func (b *crashServer) end() (first bool) {
+// stop closes the listener and resets all connections. It returns false if the server is already
+// stopped.
+func (b *crashServer) stop() (first bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.ended {
+	if b.stopped {
 		return false
 	}
-	b.ended = true
-	_ = b.l.Close()
+	b.stopped = true
+	_ = b.listener.Close()
 	for c := range b.conns {
 		_ = c.(*net.TCPConn).SetLinger(0)
 		_ = c.Close()
@@ -168,14 +176,14 @@
 }
 
 func (b *crashServer) crash() {
-	if !b.end() {
+	if !b.stop() {
 		return
 	}
-	time.Sleep(downFor)
-	// The port may be taken for a moment by an outgoing connection.
+	time.Sleep(restartDelay)
+	// The port may temporarily be in use by an outgoing connection.
 	for range 100 {
-		if l, err := net.Listen("tcp", b.at); err == nil {
-			b.begin(l)
+		if l, err := net.Listen("tcp", b.address); err == nil {
+			b.start(l)
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -185,10 +193,10 @@
 func (b *crashServer) announce(stop <-chan struct{}) {
 	for {
 		b.mu.Lock()
-		life, ended := b.life, b.ended
+		life, ended := b.generation, b.stopped
 		b.mu.Unlock()
 		if !ended {
-			b.node.putServer(fmt.Sprintf(`{"service":"pay","address":%q,"instance":"%s-%d","sequence":%d}`, b.at, b.node.host, life, time.Now().UnixNano()))
+			b.node.announceServer(fmt.Sprintf(`{"service":"pay","address":%q,"instance":"%s-%d","sequence":%d}`, b.address, b.node.host, life, time.Now().UnixNano()))
 		}
 		select {
 		case <-stop:
@@ -210,57 +218,59 @@
 		if err != nil {
 			return
 		}
-		if r := b.site.arrived(b, req, body); r != nil {
-			time.Sleep(crashAfter)
-			b.site.ended(r)
+		if r := b.site.recordArrival(b, req, body); r != nil {
+			time.Sleep(crashDelay)
+			b.site.recordCrash(r)
 			go b.crash()
 			return
 		}
-		time.Sleep(harmlessWork)
-		if _, err := io.WriteString(c, shortAnswer); err != nil {
+		time.Sleep(processingTime)
+		if _, err := io.WriteString(c, shortResponse); err != nil {
 			return
 		}
 	}
 }
 
-// arrived tells which fatal request came to a server, if it is one, and counts it.
-func (s *crashSite) arrived(b *crashServer, req *http.Request, body []byte) *fatalRecord {
-	calm := b.calmFor()
+// recordArrival records the arrival of a request and returns its record, or nil if the request is
+// not fatal.
+func (s *crashSite) recordArrival(b *crashServer, req *http.Request, body []byte) *fatalRecord {
+	undisturbedFor := b.undisturbedFor()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, r := range s.fatals {
+	for _, r := range s.records {
 		if req.Method == r.method && req.URL.Path == r.path && string(body) == r.body {
-			r.arrivals = append(r.arrivals, arrival{time.Now(), b.node, calm})
+			r.arrivals = append(r.arrivals, arrival{time.Now(), b.node, undisturbedFor})
 			return r
 		}
 	}
 	return nil
 }
 
-func (s *crashSite) ended(r *fatalRecord) {
+func (s *crashSite) recordCrash(r *fatalRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r.ends = append(r.ends, time.Now())
+	r.crashTimes = append(r.crashTimes, time.Now())
 }
 
-// begin has requests be fatal from now on, and no others.
-func (s *crashSite) begin(list ...fatal) []*fatalRecord {
+// setFatal replaces the set of fatal requests.
+func (s *crashSite) setFatal(list ...fatalRequest) []*fatalRecord {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fatals = nil
+	s.records = nil
 	for _, f := range list {
-		s.fatals = append(s.fatals, &fatalRecord{fatal: f})
+		s.records = append(s.records, &fatalRecord{fatalRequest: f})
 	}
-	return s.fatals
+	return s.records
 }
 
-// send sends a request through a node and returns its status, 0 without one.
-func (s *crashSite) send(n *nodeProc, f fatal) int {
+// send sends a request through a node and returns the status of the response, or 0 if there is
+// none.
+func (s *crashSite) send(n *nodeProcess, f fatalRequest) int {
 	var body io.Reader
 	if f.body != "" {
 		body = bytes.NewReader([]byte(f.body))
 		if f.chunked {
-			// A reader whose length net/http cannot tell.
+			// Hide the length of the body from net/http.
 			body = io.MultiReader(body)
 		}
 	}
@@ -271,10 +281,10 @@
 	return resp.StatusCode
 }
 
-// seen is how often a fatal request came after all could know, and whether it is past
-// the time in which it may.
-func (s *crashSite) seen(r *fatalRecord) (later int, over bool) {
+// progress returns the number of late arrivals, and whether the period in which they may occur is
+// over.
+func (s *crashSite) progress(r *fatalRecord) (late int, done bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return r.later(), len(r.ends) >= crashes && time.Since(r.ends[crashes-1]) > contact+2*time.Second
+	return r.lateArrivals(), len(r.crashTimes) >= crashThreshold && time.Since(r.crashTimes[crashThreshold-1]) > propagationTime+2*time.Second
 }
--- a/internal/e2e/crash_test.go
+++ b/internal/e2e/crash_test.go
@@ -14,52 +14,51 @@
 	"gotest.tools/v3/assert"
 )
 
-// The caller sees a service that refuses for seconds, again and again. One request
-// crashes each server that begins to run it; its caller sends it again, under a new id
-// and through another node, as soon as it has failed. Each call by itself keeps to its
-// attempts, and nothing remembers what ran on the servers that ended: all of them end,
-// and when the first are back they end again. The logs show one content on each server
-// that ended, under an id that no other server has seen. Others must be served
-// meanwhile: the same path with another body, and what is asked for often and only
-// happened to run there. Cause: what a server ran was forgotten with the exchange that
-// broke off, and no node knew what had run beside another one; the logs' keys of
-// contents proved it.
+// Guards against a request that crashes one server after another, so that its service is
+// unavailable for seconds, repeatedly. The caller resends the request with a new ID through another
+// node as soon as it has failed. Every single call obeys its retry limit, but what a server had
+// executed was forgotten with the interrupted exchange, and no node knew what had run at another
+// node: all servers crashed, and crashed again after their restart. The logs showed the same
+// content key at each crashed server, with IDs that no other server had seen. Other requests must
+// be served meanwhile: the same path with another body, and frequent requests that happened to run
+// on a crashed server.
 func TestRequestThatEndsServersIsKeptAway(t *testing.T) {
 	s := newCrashSite(t, 6)
 	long := strings.Repeat("long ", 20_000)
 	for _, f := range []struct {
 		desc string
-		fatal
+		fatalRequest
 	}{
-		{"repeatable, without a body", fatal{method: http.MethodGet, path: "/read/fatal"}},
-		{"not repeatable, with a body", fatal{method: http.MethodPost, path: "/write/fatal", body: "kill"}},
-		{"its body comes without a length", fatal{method: http.MethodPost, path: "/write/chunks", body: "kill", chunked: true}},
-		{"its body is too long to be held", fatal{method: http.MethodPost, path: "/write/long", body: long}},
+		{"repeatable, without a body", fatalRequest{method: http.MethodGet, path: "/read/fatal"}},
+		{"not repeatable, with a body", fatalRequest{method: http.MethodPost, path: "/write/fatal", body: "kill"}},
+		{"with a body of unknown length", fatalRequest{method: http.MethodPost, path: "/write/chunks", body: "kill", chunked: true}},
+		{"with a body too long to buffer", fatalRequest{method: http.MethodPost, path: "/write/long", body: long}},
 	} {
-		t.Run(f.desc, func(t *testing.T) { s.keptAway(t, f.fatal) })
+		t.Run(f.desc, func(t *testing.T) { s.checkKeptAway(t, f.fatalRequest) })
 	}
 }
 
-// keptAway has callers send a fatal request again and again beside others.
-func (s *crashSite) keptAway(t *testing.T, f fatal) {
-	r := s.begin(f)[0]
+// checkKeptAway resends a fatal request, concurrently with other requests, until it must be kept
+// away, and checks that the other requests are served.
+func (s *crashSite) checkKeptAway(t *testing.T, f fatalRequest) {
+	r := s.setFatal(f)[0]
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
 	defer callers.Wait()
 	defer close(stop)
-	callers.Go(func() { s.popular(stop) })
-	deadline := time.Now().Add(patience)
+	callers.Go(func() { s.sendPopular(stop) })
+	deadline := time.Now().Add(waitTimeout)
 	for i := 0; ; i++ {
 		s.send(s.nodes[i%len(s.nodes)], f)
-		later, over := s.seen(r)
-		assert.Assert(t, later <= mostLater, "the request came to servers %d times after all could know", later)
-		if over {
+		late, done := s.progress(r)
+		assert.Assert(t, late <= maxLateArrivals, "the request reached servers %d times after the propagation time", late)
+		if done {
 			break
 		}
-		assert.Assert(t, time.Now().Before(deadline), "never ended three servers")
+		assert.Assert(t, time.Now().Before(deadline), "the request did not crash three servers")
 		time.Sleep(50 * time.Millisecond)
 	}
-	for _, other := range s.harmless(f) {
+	for _, other := range s.harmlessRequests(f) {
 		eventually(t, other.method+" "+other.path+" is served at each node", func() bool {
 			for _, n := range s.nodes {
 				if s.send(n, other) != http.StatusOK {
@@ -71,59 +70,58 @@
 	}
 }
 
-// popularPath is asked for often.
+// popularPath is the path of a frequent request.
 const popularPath = "/read/popular"
 
-// popular is asked for all the while, through all nodes.
-func (s *crashSite) popular(stop <-chan struct{}) {
+// sendPopular sends requests through all nodes until stop is closed.
+func (s *crashSite) sendPopular(stop <-chan struct{}) {
 	for i := 0; ; i++ {
 		select {
 		case <-stop:
 			return
 		default:
 		}
-		s.send(s.nodes[i%len(s.nodes)], fatal{method: http.MethodGet, path: popularPath})
+		s.send(s.nodes[i%len(s.nodes)], fatalRequest{method: http.MethodGet, path: popularPath})
 	}
 }
 
-// harmless are requests that nobody may keep away.
-func (s *crashSite) harmless(f fatal) []fatal {
+// harmlessRequests returns requests that must not be kept away.
+func (s *crashSite) harmlessRequests(f fatalRequest) []fatalRequest {
 	other := f
 	other.body = f.body + "!"
 	if f.method == http.MethodGet {
 		other.path += "/other"
 		other.body = ""
 	}
-	return []fatal{other, {method: http.MethodGet, path: popularPath}}
+	return []fatalRequest{other, {method: http.MethodGet, path: popularPath}}
 }
 
-// A request has ended three servers and is kept away everywhere. Then all nodes lose
-// power at one moment, and the control replica with them or not; no node is left that
-// remembers. The caller goes on sending the request, and it ended servers anew as soon as
-// they were back. Cause: what the nodes knew was in their memory alone. Control replicas
-// are told as well, and store it.
+// Guards against forgetting a request that has crashed three servers and is kept away everywhere,
+// when all nodes, and in one case the control replica as well, are killed at the same time. Kept
+// only in the memory of the nodes, this state was lost, and the resent request crashed servers
+// again after the restart. It is therefore also sent to the control replicas, which store it.
 func TestRequestIsKeptAwayAfterAllNodesEnded(t *testing.T) {
 	for _, c := range []struct {
 		desc    string
 		control bool
 	}{
-		{"the nodes alone", false},
+		{"only the nodes", false},
 		{"the nodes and control", true},
 	} {
 		t.Run(c.desc, func(t *testing.T) {
 			s := newCrashSite(t, 6)
-			f := fatal{method: http.MethodGet, path: "/read/fatal"}
-			r := s.begin(f)[0]
+			f := fatalRequest{method: http.MethodGet, path: "/read/fatal"}
+			r := s.setFatal(f)[0]
 			eventually(t, "the request is kept away everywhere", func() bool {
 				for _, n := range s.nodes {
 					s.send(n, f)
 				}
-				return s.keptAwayAt(t) == len(s.nodes)
+				return s.nodesKeepingAway(t) == len(s.nodes)
 			})
-			time.Sleep(contact)
-			var procs []*proc
+			time.Sleep(propagationTime)
+			var procs []*process
 			for _, n := range s.nodes {
-				procs = append(procs, n.proc)
+				procs = append(procs, n.process)
 			}
 			if c.control {
 				procs = append(procs, s.replicas[0])
@@ -136,9 +134,11 @@
 				p.start(t)
 			}
 			for _, n := range s.nodes {
-				eventually(t, n.host+" serves again", func() bool { return s.send(n, fatal{method: http.MethodGet, path: popularPath}) == http.StatusOK })
+				eventually(t, n.host+" serves again", func() bool {
+					return s.send(n, fatalRequest{method: http.MethodGet, path: popularPath}) == http.StatusOK
+				})
 			}
-			time.Sleep(contact)
+			time.Sleep(propagationTime)
 			s.mu.Lock()
 			before := len(r.arrivals)
 			s.mu.Unlock()
@@ -149,78 +149,77 @@
 			}
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			assert.Assert(t, len(r.arrivals)-before <= mostLater, "the request came to servers %d times more", len(r.arrivals)-before)
+			assert.Assert(t, len(r.arrivals)-before <= maxLateArrivals, "the request reached servers %d more times", len(r.arrivals)-before)
 		})
 	}
 }
 
-// keptAwayAt counts the nodes that keep a request away.
-func (s *crashSite) keptAwayAt(t *testing.T) int {
+// nodesKeepingAway returns the number of nodes that keep a request away.
+func (s *crashSite) nodesKeepingAway(t *testing.T) int {
 	t.Helper()
 	count := 0
 	for _, n := range s.nodes {
-		if number(n.vars(t), "quarantine_contents") > 0 {
+		if metric(n.metrics(t), "quarantine_contents") > 0 {
 			count++
 		}
 	}
 	return count
 }
 
-var crashSeed = flag.Uint64("crash.seed", 1, "what befalls the nodes while requests crash servers")
+var crashSeed = flag.Uint64("crash.seed", 1, "seed of TestRequestsAreKeptAwayWhileNodesComeAndGo")
 
-// Two fatal requests come at once, through whichever node, one with another query each
-// time. Meanwhile nodes are killed and started, frozen and let go, and all control
-// replicas stand still. Beside any node that was left alone, neither may come to servers
-// more often than it may, once all could know; when all is over both are kept away, and
-// others are served.
+// Guards against fatal requests that reach servers too often while nodes are killed or frozen and
+// all control replicas are paused. Two fatal requests are sent concurrently through varying nodes,
+// one of them with a new query each time. At undisturbed nodes, arrivals after the propagation time
+// must stay within the limit. At the end both requests must be kept away and others must be served.
 func TestRequestsAreKeptAwayWhileNodesComeAndGo(t *testing.T) {
-	const lasts = 12 * time.Second
+	const duration = 12 * time.Second
 	s := newCrashSite(t, 8)
 	random := rand.New(rand.NewPCG(*crashSeed, 0))
-	list := []fatal{{method: http.MethodGet, path: "/read/fatal"}, {method: http.MethodPost, path: "/write/fatal", body: "kill"}}
-	records := s.begin(list...)
+	list := []fatalRequest{{method: http.MethodGet, path: "/read/fatal"}, {method: http.MethodPost, path: "/write/fatal", body: "kill"}}
+	records := s.setFatal(list...)
 	stop := make(chan struct{})
 	var callers, faults sync.WaitGroup
-	callers.Go(func() { s.popular(stop) })
+	callers.Go(func() { s.sendPopular(stop) })
 	for i, f := range list {
-		callers.Go(func() { s.insist(stop, i, f) })
+		callers.Go(func() { s.resendFatal(stop, i, f) })
 	}
-	for until := time.Now().Add(lasts); time.Now().Before(until); time.Sleep(time.Duration(200+random.IntN(500)) * time.Millisecond) {
+	for until := time.Now().Add(duration); time.Now().Before(until); time.Sleep(time.Duration(200+random.IntN(500)) * time.Millisecond) {
 		b := s.servers[random.IntN(len(s.servers))]
-		down := time.Duration(100+random.IntN(1500)) * time.Millisecond
+		downtime := time.Duration(100+random.IntN(1500)) * time.Millisecond
 		switch {
 		case random.IntN(4) == 0:
-			faults.Go(func() { s.withoutControl(down) })
-		case b.calmFor() < 0:
+			faults.Go(func() { s.pauseControl(downtime) })
+		case b.undisturbedFor() < 0:
 		case random.IntN(2) == 0:
-			b.disturbed(time.Now().Add(down + restartTime))
+			b.setUndisturbedSince(time.Now().Add(downtime + nodeStartTime))
 			faults.Go(func() {
 				b.node.kill()
-				time.Sleep(down)
+				time.Sleep(downtime)
 				b.node.start(t)
 			})
 		default:
-			b.disturbed(time.Now().Add(down))
+			b.setUndisturbedSince(time.Now().Add(downtime))
 			faults.Go(func() {
 				b.node.signal(syscall.SIGSTOP)
-				time.Sleep(down)
+				time.Sleep(downtime)
 				b.node.signal(syscall.SIGCONT)
 			})
 		}
 	}
 	faults.Wait()
-	time.Sleep(restartTime + contact)
+	time.Sleep(nodeStartTime + propagationTime)
 	close(stop)
 	callers.Wait()
 	for _, r := range records {
 		s.mu.Lock()
-		later, ends := r.later(), len(r.ends)
+		later, ends := r.lateArrivals(), len(r.crashTimes)
 		s.mu.Unlock()
-		t.Logf("%s %s ended %d servers, %d times late", r.method, r.path, ends, later)
-		assert.Assert(t, ends >= crashes, "it ended too few servers to tell")
-		assert.Assert(t, later <= mostLater, "%s came to servers %d times after all could know", r.path, later)
+		t.Logf("%s %s crashed %d servers, %d late arrivals", r.method, r.path, ends, later)
+		assert.Assert(t, ends >= crashThreshold, "the request crashed too few servers for the test")
+		assert.Assert(t, later <= maxLateArrivals, "%s reached servers %d times after the propagation time", r.path, later)
 	}
-	for _, other := range append(s.harmless(list[0]), s.harmless(list[1])...) {
+	for _, other := range append(s.harmlessRequests(list[0]), s.harmlessRequests(list[1])...) {
 		for _, n := range s.nodes {
 			eventually(t, other.path+" is served through "+n.host, func() bool { return s.send(n, other) == http.StatusOK })
 		}
@@ -232,11 +231,11 @@
 	}
 }
 
-// restartTime is more than a node takes to be up after its start.
-const restartTime = time.Second
+// nodeStartTime exceeds the time that a node needs to start.
+const nodeStartTime = time.Second
 
-// insist sends a fatal request again and again, through two nodes at once.
-func (s *crashSite) insist(stop <-chan struct{}, first int, f fatal) {
+// resendFatal sends a fatal request repeatedly, through two nodes at once.
+func (s *crashSite) resendFatal(stop <-chan struct{}, first int, f fatalRequest) {
 	for i := first; ; i += 2 {
 		select {
 		case <-stop:
@@ -247,16 +246,16 @@
 			f.path, _, _ = strings.Cut(f.path, "?")
 			f.path += fmt.Sprint("?", i)
 		}
-		var both sync.WaitGroup
+		var pair sync.WaitGroup
 		for j := range 2 {
-			both.Go(func() { s.send(s.nodes[(i+j)%len(s.nodes)], f) })
+			pair.Go(func() { s.send(s.nodes[(i+j)%len(s.nodes)], f) })
 		}
-		both.Wait()
+		pair.Wait()
 	}
 }
 
-// withoutControl has all control replicas stand still for a while.
-func (s *crashSite) withoutControl(d time.Duration) {
+// pauseControl pauses all control replicas for d.
+func (s *crashSite) pauseControl(d time.Duration) {
 	for _, r := range s.replicas {
 		r.signal(syscall.SIGSTOP)
 	}
--- a/internal/e2e/evacuate_test.go
+++ b/internal/e2e/evacuate_test.go
@@ -11,28 +11,28 @@
 	"gotest.tools/v3/assert"
 )
 
-// started is how many requests a node's gate has started.
-func (n *nodeProc) started(t testing.TB) float64 {
+// gateStarted returns the number of requests started by the node's gate.
+func (n *nodeProcess) gateStarted(t testing.TB) float64 {
 	t.Helper()
-	return number(n.vars(t), "gate_started")
+	return metric(n.metrics(t), "gate_started")
 }
 
-// Guards against requests that reach an evacuated data centre: under load from both
-// data centres, with a node that is killed and starts anew while the order is in force.
+// Guards against requests that reach an evacuated data centre, under load from both data centres
+// and with a node that is killed and restarted during the evacuation.
 func TestEvacuatedDataCenterGetsNoRequests(t *testing.T) {
 	c := newCluster(t, 3)
-	c.watch = true
+	c.watchControl = true
 	c.start()
-	kept, emptied := c.addNodeIn("dc-a", "hello"), c.addNodeIn("dc-b", "hello")
+	remaining, evacuated := c.addNodeIn("dc-a", "hello"), c.addNodeIn("dc-b", "hello")
 	frontA, frontB := c.addNodeIn("dc-a", ""), c.addNodeIn("dc-b", "")
 	c.submit(estateText("hello", "hello"))
-	for _, front := range []*nodeProc{frontA, frontB} {
-		front.serves(t, "hello")
+	for _, front := range []*nodeProcess{frontA, frontB} {
+		front.waitServing(t, "hello")
 	}
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
 	var answered, failed atomic.Int64
-	for _, front := range []*nodeProc{frontA, frontB} {
+	for _, front := range []*nodeProcess{frontA, frontB} {
 		for range 2 {
 			callers.Go(func() {
 				for {
@@ -51,40 +51,40 @@
 			})
 		}
 	}
-	eventually(t, "both data centres serve", func() bool { return kept.started(t) > 20 && emptied.started(t) > 20 })
+	eventually(t, "both data centres serve", func() bool { return remaining.gateStarted(t) > 20 && evacuated.gateStarted(t) > 20 })
 	code, out := c.ctl("evacuate", "dc-b")
 	assert.Equal(t, code, 0, out)
 	assert.Assert(t, strings.Contains(out, "in force on all nodes"), out)
-	before := emptied.started(t)
-	mark := answered.Load()
-	eventually(t, "the other data centre serves all", func() bool { return answered.Load() > mark+100 })
-	assert.Equal(t, emptied.started(t), before)
+	before := evacuated.gateStarted(t)
+	previous := answered.Load()
+	eventually(t, "the other data centre serves all requests", func() bool { return answered.Load() > previous+100 })
+	assert.Equal(t, evacuated.gateStarted(t), before)
 	code, out = c.ctl("status")
 	assert.Equal(t, code, 0, out)
 	assert.Assert(t, strings.Contains(out, "evacuated since revision"), out)
-	emptied.restart(t)
-	eventually(t, "the node runs again", func() bool { return answers(emptied) })
-	mark = answered.Load()
-	eventually(t, "the other data centre still serves all", func() bool { return answered.Load() > mark+200 })
-	assert.Equal(t, emptied.started(t), 0.0)
+	evacuated.restart(t)
+	eventually(t, "the node is running again", func() bool { return adminResponds(evacuated) })
+	previous = answered.Load()
+	eventually(t, "the other data centre still serves all requests", func() bool { return answered.Load() > previous+200 })
+	assert.Equal(t, evacuated.gateStarted(t), 0.0)
 	code, out = c.ctl("unevacuate", "dc-b")
 	assert.Equal(t, code, 0, out)
-	eventually(t, "both data centres serve again", func() bool { return emptied.started(t) > 20 })
+	eventually(t, "both data centres serve again", func() bool { return evacuated.gateStarted(t) > 20 })
 	close(stop)
 	callers.Wait()
 	assert.Equal(t, failed.Load(), int64(0), "of %d", answered.Load())
 }
 
-// Guards against callers that wait in vain when everything is evacuated: they hear at
-// once that their request has not run, and when to come back.
+// Guards against callers that wait in vain if all data centres with the service are evacuated: the
+// response must come at once and tell that the request was not executed and when to retry.
 func TestRequestIsRefusedAtOnceWhereEverythingIsEvacuated(t *testing.T) {
 	c := newCluster(t, 1)
-	c.watch = true
+	c.watchControl = true
 	c.start()
 	c.addNodeIn("dc-a", "hello")
 	front := c.addNodeIn("dc-b", "")
 	c.submit(estateText("hello", "hello"))
-	front.serves(t, "hello")
+	front.waitServing(t, "hello")
 	code, out := c.ctl("evacuate", "dc-a")
 	assert.Equal(t, code, 0, out)
 	begun := time.Now()
@@ -99,21 +99,21 @@
 	assert.Assert(t, strings.Contains(out, "no name of a data centre"), out)
 }
 
-// Guards against an evacuation that ends with the processes that knew of it: all are
-// killed at once, and come back together.
+// Guards against an evacuation that is lost when all processes are killed at once and restarted
+// together.
 func TestEvacuationHoldsAfterAllProcessesWereKilled(t *testing.T) {
 	c := newCluster(t, 3)
-	c.watch = true
+	c.watchControl = true
 	c.start()
-	kept, emptied := c.addNodeIn("dc-a", "hello"), c.addNodeIn("dc-b", "hello")
+	remaining, evacuated := c.addNodeIn("dc-a", "hello"), c.addNodeIn("dc-b", "hello")
 	front := c.addNodeIn("dc-b", "")
 	c.submit(estateText("hello", "hello"))
-	front.serves(t, "hello")
+	front.waitServing(t, "hello")
 	code, out := c.ctl("evacuate", "dc-b")
 	assert.Equal(t, code, 0, out)
-	all := append([]*proc{}, c.replicas...)
+	all := append([]*process{}, c.replicas...)
 	for _, n := range c.nodes {
-		all = append(all, n.proc)
+		all = append(all, n.process)
 	}
 	for _, p := range all {
 		p.kill()
@@ -121,15 +121,15 @@
 	for _, p := range all {
 		p.start(t)
 	}
-	eventually(t, "the front runs again", func() bool { return answers(front) && answers(emptied) && answers(kept) })
-	front.serves(t, "hello")
+	eventually(t, "the nodes are running again", func() bool { return adminResponds(front) && adminResponds(evacuated) && adminResponds(remaining) })
+	front.waitServing(t, "hello")
 	for range 100 {
 		resp, _, err := front.request(http.MethodGet, "hello", "/", nil)
 		assert.NilError(t, err)
 		assert.Equal(t, resp.StatusCode, http.StatusOK)
 	}
-	assert.Equal(t, emptied.started(t), 0.0)
-	assert.Assert(t, kept.started(t) > 0)
+	assert.Equal(t, evacuated.gateStarted(t), 0.0)
+	assert.Assert(t, remaining.gateStarted(t) > 0)
 	code, out = c.ctl("status")
 	assert.Equal(t, code, 0, out)
 	assert.Assert(t, strings.Contains(out, "evacuated since revision"), out)
--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -1,6 +1,6 @@
-// Package e2e tests the two binaries as separate processes on loopback. Every
-// verdict is a state that is reached, however long it takes, or a count that
-// must hold; none hangs on how fast the machine is.
+// Package e2e tests the two binaries as separate processes on loopback. Every check waits for a
+// state, however long that takes, or verifies a count. No result depends on the speed of the
+// machine.
 package e2e
 
 import (
@@ -28,10 +28,10 @@
 	"cactuspath/internal/testport"
 )
 
-// patience bounds every wait; only a failure reaches it.
-const patience = 90 * time.Second
+// waitTimeout limits every wait. It is reached only on failure.
+const waitTimeout = 90 * time.Second
 
-var binaries string
+var binariesDir string
 
 func TestMain(m *testing.M) {
 	if v := os.Getenv(bareRelayEnv); v != "" {
@@ -47,14 +47,14 @@
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
 		os.Exit(1)
 	}
-	binaries = folder
+	binariesDir = folder
 	code := m.Run()
 	_ = os.RemoveAll(folder)
 	os.Exit(code)
 }
 
-// proc is one process that a test started.
-type proc struct {
+// process is a process started by a test.
+type process struct {
 	name string
 	args []string
 	// env is added to the environment of the process.
@@ -83,48 +83,48 @@
 
 // cluster is a set of processes with their addresses.
 type cluster struct {
-	t       testing.TB
-	folder  string
-	control []string
-	// advertised are the addresses by which control replicas are reached: those
-	// of cuts where a test puts them in between.
-	advertised []string
-	replicas   []*proc
-	nodes      []*nodeProc
-	client     *operator.Client
-	// tls is the settings' tls block, or empty.
-	tls string
-	// ctlTLS are cactusctl's flags for it.
-	ctlTLS []string
-	// watch has nodes watch control replicas, as small sites do.
-	watch bool
-}
-
-type nodeProc struct {
-	*proc
+	t                testing.TB
+	folder           string
+	controlAddresses []string
+	// advertisedAddresses contains the addresses at which the control replicas are reached: those
+	// of partition proxies in tests that use them.
+	advertisedAddresses []string
+	replicas            []*process
+	nodes               []*nodeProcess
+	client              *operator.Client
+	// tlsSettings is the tls block of the settings, or empty.
+	tlsSettings string
+	// ctlTLSFlags contains the TLS flags of cactusctl.
+	ctlTLSFlags []string
+	// watchControl makes nodes watch the control replicas, as at small sites.
+	watchControl bool
+}
+
+type nodeProcess struct {
+	*process
 	host, callers, peer, admin string
 }
 
 func newCluster(t testing.TB, replicas int) *cluster {
 	t.Helper()
 	c := &cluster{t: t, folder: t.TempDir()}
-	c.control = testport.Addresses(t, replicas)
-	c.advertised = c.control
+	c.controlAddresses = testport.Addresses(t, replicas)
+	c.advertisedAddresses = c.controlAddresses
 	return c
 }
 
-// start founds the control replicas and starts them.
+// start initializes and starts the control replicas as founders.
 func (c *cluster) start() *cluster {
-	for i := range c.control {
-		c.writeReplica(i, true)
-		c.mustRun("cactuspath", "init", "--settings", c.replicaFile(i))
-		c.replicas = append(c.replicas, c.spawn(fmt.Sprintf("control-%d", i+1), "cactuspath", "run", "--settings", c.replicaFile(i)))
+	for i := range c.controlAddresses {
+		c.writeReplicaSettings(i, true)
+		c.mustRun("cactuspath", "init", "--settings", c.replicaSettingsFile(i))
+		c.replicas = append(c.replicas, c.spawn(fmt.Sprintf("control-%d", i+1), "cactuspath", "run", "--settings", c.replicaSettingsFile(i)))
 	}
-	c.client = &operator.Client{Control: controlclient.New(nil, c.control, ""), Name: "tester"}
+	c.client = &operator.Client{Control: controlclient.New(nil, c.controlAddresses, ""), Name: "tester"}
 	return c
 }
 
-func (c *cluster) replicaFile(i int) string {
+func (c *cluster) replicaSettingsFile(i int) string {
 	return filepath.Join(c.folder, fmt.Sprintf("control-%d.jsonc", i+1))
 }
 
@@ -132,93 +132,92 @@
 	return filepath.Join(c.folder, fmt.Sprintf("data-%d", i+1))
 }
 
-func (c *cluster) writeReplica(i int, founders bool) {
+func (c *cluster) writeReplicaSettings(i int, withFounders bool) {
 	var list []string
-	for j, a := range c.advertised {
+	for j, a := range c.advertisedAddresses {
 		list = append(list, fmt.Sprintf("%q: %q", fmt.Sprintf("control-%d", j+1), a))
 	}
-	found := ""
-	if founders {
-		found = `"founders": {` + strings.Join(list, ", ") + `},`
+	foundersSetting := ""
+	if withFounders {
+		foundersSetting = `"founders": {` + strings.Join(list, ", ") + `},`
 	}
-	c.write(c.replicaFile(i), fmt.Sprintf(`{
+	c.writeFile(c.replicaSettingsFile(i), fmt.Sprintf(`{
   "host": "control-%d", "dataCenter": "dc-a", "region": "r",
   "controlReplicas": [%s], %s
   "control": {"name": "control-%d", "address": %q, "listen": %q, "dataFolder": %q, %s},
-}`, i+1, c.replicaList(), c.tls, i+1, c.advertised[i], c.control[i], c.dataFolder(i), found))
+}`, i+1, c.replicaList(), c.tlsSettings, i+1, c.advertisedAddresses[i], c.controlAddresses[i], c.dataFolder(i), foundersSetting))
 }
 
 func (c *cluster) replicaList() string {
-	quoted := make([]string, len(c.advertised))
-	for i, a := range c.advertised {
+	quoted := make([]string, len(c.advertisedAddresses))
+	for i, a := range c.advertisedAddresses {
 		quoted[i] = fmt.Sprintf("%q", a)
 	}
 	return strings.Join(quoted, ", ")
 }
 
-func (c *cluster) write(file, text string) {
+func (c *cluster) writeFile(file, text string) {
 	c.t.Helper()
 	assert.NilError(c.t, os.WriteFile(file, []byte(text), 0o600))
 }
 
-// addNode starts a node process and, if service is not empty, a stand-in
-// backend server process beside it.
-func (c *cluster) addNode(service string) *nodeProc {
+// addNode starts a node and, if service is not empty, a backend server process for it.
+func (c *cluster) addNode(service string) *nodeProcess {
 	c.t.Helper()
 	return c.addNodeIn("dc-a", service)
 }
 
-// addNodeIn is addNode in a data centre.
-func (c *cluster) addNodeIn(dataCenter, service string) *nodeProc {
+// addNodeIn is addNode in the given data centre.
+func (c *cluster) addNodeIn(dataCenter, service string) *nodeProcess {
 	c.t.Helper()
-	return c.addNodeWith(nodeSetup{dataCenter: dataCenter, service: service})
+	return c.addNodeWith(nodeOptions{dataCenter: dataCenter, service: service})
 }
 
-// nodeSetup is what a test wants of a node.
-type nodeSetup struct {
+// nodeOptions contains the options of a node.
+type nodeOptions struct {
 	dataCenter, service string
 	// env is added to the environment of the node's process.
 	env []string
-	// before, if not nil, puts something before the listener for other nodes, and
-	// returns the address by which they reach it.
-	before func(peer string) string
+	// interposePeer, if not nil, places a proxy in front of the peer listener and returns the
+	// address at which other nodes reach it.
+	interposePeer func(peer string) string
 }
 
-func (c *cluster) addNodeWith(setup nodeSetup) *nodeProc {
+func (c *cluster) addNodeWith(options nodeOptions) *nodeProcess {
 	c.t.Helper()
 	a := testport.Addresses(c.t, 3)
-	n := &nodeProc{host: fmt.Sprintf("host-%d", len(c.nodes)+1), callers: a[0], peer: a[1], admin: a[2]}
+	n := &nodeProcess{host: fmt.Sprintf("host-%d", len(c.nodes)+1), callers: a[0], peer: a[1], admin: a[2]}
 	peerAddress := n.peer
-	if setup.before != nil {
-		peerAddress = setup.before(n.peer)
+	if options.interposePeer != nil {
+		peerAddress = options.interposePeer(n.peer)
 	}
 	file := filepath.Join(c.folder, n.host+".jsonc")
-	c.write(file, fmt.Sprintf(`{
+	c.writeFile(file, fmt.Sprintf(`{
   "host": %q, "dataCenter": %q, "region": "r", "stopTimeout": "60s",
   "controlReplicas": [%s], %s
   "node": {"callers": %q, "peer": %q, "peerAddress": %q, "admin": %q, "watchControl": %t},
-}`, n.host, setup.dataCenter, c.replicaList(), c.tls, n.callers, n.peer, peerAddress, n.admin, c.watch))
-	n.proc = c.spawnWith(setup.env, n.host, "cactuspath", "run", "--settings", file)
+}`, n.host, options.dataCenter, c.replicaList(), c.tlsSettings, n.callers, n.peer, peerAddress, n.admin, c.watchControl))
+	n.process = c.spawnWith(options.env, n.host, "cactuspath", "run", "--settings", file)
 	c.nodes = append(c.nodes, n)
-	if setup.service != "" {
-		c.addBackend(n, setup.service)
+	if options.service != "" {
+		c.addBackend(n, options.service)
 	}
 	return n
 }
 
-func (c *cluster) addBackend(n *nodeProc, service string) *proc {
+func (c *cluster) addBackend(n *nodeProcess, service string) *process {
 	return c.spawn("backend-of-"+n.host, "cactuspath", "backend", "--service", service, "--admin", n.admin)
 }
 
-// spawn starts a process that ends with the test at the latest.
-func (c *cluster) spawn(name, binary string, args ...string) *proc {
+// spawn starts a process that is killed at the end of the test.
+func (c *cluster) spawn(name, binary string, args ...string) *process {
 	c.t.Helper()
 	return c.spawnWith(nil, name, binary, args...)
 }
 
-func (c *cluster) spawnWith(env []string, name, binary string, args ...string) *proc {
+func (c *cluster) spawnWith(env []string, name, binary string, args ...string) *process {
 	c.t.Helper()
-	p := &proc{name: name, args: append([]string{binary}, args...), env: env}
+	p := &process{name: name, args: append([]string{binary}, args...), env: env}
 	p.start(c.t)
 	c.t.Cleanup(func() {
 		p.kill()
@@ -229,12 +228,12 @@
 	return p
 }
 
-func (p *proc) start(t testing.TB) {
+func (p *process) start(t testing.TB) {
 	t.Helper()
 	if p.log == nil {
 		p.log = &syncBuffer{}
 	}
-	p.cmd = exec.Command(filepath.Join(binaries, p.args[0]), p.args[1:]...)
+	p.cmd = exec.Command(filepath.Join(binariesDir, p.args[0]), p.args[1:]...)
 	p.cmd.Env = append(os.Environ(), p.env...)
 	p.cmd.Stdout, p.cmd.Stderr = p.log, p.log
 	assert.NilError(t, p.cmd.Start())
@@ -245,18 +244,18 @@
 	}(p.cmd, p.done)
 }
 
-func (p *proc) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
+func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// freeze stops the process and waits until each of its threads stands still. The
-// signal returns earlier: of 400 on a busy machine 13 left a thread running for up
-// to 7 ms, in which a process answers a request that a test sends to a frozen one.
-func (p *proc) freeze(t testing.TB) {
+// freeze stops the process and waits until all of its threads have stopped. The signal alone is not
+// sufficient: of 400 processes on a busy machine, 13 had a thread that ran for up to 7 ms longer,
+// in which a process could still respond to a request.
+func (p *process) freeze(t testing.TB) {
 	t.Helper()
 	p.signal(syscall.SIGSTOP)
-	eventually(t, "all threads of the process stand still", func() bool { return p.frozen(t) })
+	eventually(t, "all threads of the process have stopped", func() bool { return p.frozen(t) })
 }
 
-func (p *proc) frozen(t testing.TB) bool {
+func (p *process) frozen(t testing.TB) bool {
 	t.Helper()
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 	assert.NilError(t, err)
@@ -265,7 +264,7 @@
 		if err != nil {
 			return false
 		}
-		// The state follows the name, which is in parentheses.
+		// The state follows the process name in parentheses.
 		_, fields, _ := strings.Cut(string(stat), ") ")
 		if !strings.HasPrefix(fields, "T") {
 			return false
@@ -274,20 +273,20 @@
 	return len(files) > 0
 }
 
-// kill ends the process at once, as a power loss does.
-func (p *proc) kill() {
+// kill terminates the process immediately, as a power loss does.
+func (p *process) kill() {
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-func (p *proc) restart(t testing.TB) {
+func (p *process) restart(t testing.TB) {
 	t.Helper()
 	p.kill()
 	p.start(t)
 }
 
-// mustRun runs a command to its end and returns what it printed.
+// mustRun runs a command that must succeed and returns its output.
 func (c *cluster) mustRun(binary string, args ...string) string {
 	c.t.Helper()
 	code, out := c.run(binary, args...)
@@ -296,7 +295,7 @@
 }
 
 func (c *cluster) run(binary string, args ...string) (code int, out string) {
-	cmd := exec.Command(filepath.Join(binaries, binary), args...)
+	cmd := exec.Command(filepath.Join(binariesDir, binary), args...)
 	text, err := cmd.CombinedOutput()
 	if err != nil && cmd.ProcessState == nil {
 		c.t.Fatalf("%s: %v", binary, err)
@@ -306,34 +305,34 @@
 
 // ctl runs cactusctl against the control replicas.
 func (c *cluster) ctl(args ...string) (code int, out string) {
-	return c.run("cactusctl", append([]string{"--control", strings.Join(c.control, ","), "--as", "tester", "--timeout", "60s"}, append(args, c.ctlTLS...)...)...)
+	return c.run("cactusctl", append([]string{"--control", strings.Join(c.controlAddresses, ","), "--as", "tester", "--timeout", "60s"}, append(args, c.ctlTLSFlags...)...)...)
 }
 
 func (c *cluster) estateFile(name, text string) string {
 	file := filepath.Join(c.folder, name)
-	c.write(file, text)
+	c.writeFile(file, text)
 	return file
 }
 
 // eventually waits until the condition holds.
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("condition not met: %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-func contextOf(t testing.TB) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func testContext(t testing.TB) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// estateText is an estate of one institution with the named services.
+// estateText returns an estate of one institution with the named services.
 func estateText(note string, services ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "// %s\n{\"institution\": \"trial\", \"services\": {", note)
@@ -344,10 +343,10 @@
 	return b.String()
 }
 
-// submit has a text accepted on top of the newest and in force on all nodes.
+// submit submits a text based on the latest revision and waits until it is in force on all nodes.
 func (c *cluster) submit(text string) uint64 {
 	c.t.Helper()
-	ctx := contextOf(c.t)
+	ctx := testContext(c.t)
 	shown, err := c.client.Show(ctx, "trial")
 	assert.NilError(c.t, err)
 	record, err := c.client.Submit(ctx, []byte(text), shown.Revision, operator.NewChangeID())
@@ -357,8 +356,8 @@
 	return record.Revision
 }
 
-// request sends one request for a service through a node.
-func (n *nodeProc) request(method, service, path string, body io.Reader) (*http.Response, string, error) {
+// request sends a request for a service through the node.
+func (n *nodeProcess) request(method, service, path string, body io.Reader) (*http.Response, string, error) {
 	req, err := http.NewRequest(method, "http://"+n.callers+path, body)
 	if err != nil {
 		return nil, "", err
@@ -373,25 +372,25 @@
 	return resp, string(text), err
 }
 
-// serves waits until the node answers for the service.
-func (n *nodeProc) serves(t testing.TB, service string) {
+// waitServing waits until the node serves requests for the service.
+func (n *nodeProcess) waitServing(t testing.TB, service string) {
 	t.Helper()
-	eventually(t, n.host+" answers for "+service, func() bool {
+	eventually(t, n.host+" serves "+service, func() bool {
 		resp, _, err := n.request(http.MethodGet, service, "/", nil)
 		return err == nil && resp.StatusCode == http.StatusOK
 	})
 }
 
-// knows waits until a node knows the number of endpoints.
-func (n *nodeProc) knows(t testing.TB, endpoints int) {
+// waitEndpoints waits until the node knows the given number of endpoints.
+func (n *nodeProcess) waitEndpoints(t testing.TB, endpoints int) {
 	t.Helper()
 	eventually(t, fmt.Sprintf("%s knows %d endpoints", n.host, endpoints), func() bool {
-		return number(n.vars(t), "directory_known_endpoints") == float64(endpoints)
+		return metric(n.metrics(t), "directory_known_endpoints") == float64(endpoints)
 	})
 }
 
-// vars reads a node's metrics.
-func (n *nodeProc) vars(t testing.TB) map[string]any {
+// metrics reads the node's metrics.
+func (n *nodeProcess) metrics(t testing.TB) map[string]any {
 	t.Helper()
 	resp, err := http.Get("http://" + n.admin + "/debug/vars")
 	assert.NilError(t, err)
@@ -401,17 +400,17 @@
 	return out
 }
 
-func (n *nodeProc) revision(t testing.TB) uint64 {
+func (n *nodeProcess) revision(t testing.TB) uint64 {
 	t.Helper()
-	return uint64(n.vars(t)["configuration_revision"].(float64))
+	return uint64(n.metrics(t)["configuration_revision"].(float64))
 }
 
-// leader waits until one replica leads and returns its place in the list.
+// leader waits until there is a leader and returns its index.
 func (c *cluster) leader() int {
 	c.t.Helper()
 	index := -1
-	eventually(c.t, "a replica leads", func() bool {
-		s, err := c.client.Status(contextOf(c.t))
+	eventually(c.t, "there is a leader", func() bool {
+		s, err := c.client.Status(testContext(c.t))
 		if err != nil {
 			return false
 		}
@@ -428,7 +427,7 @@
 
 func (c *cluster) audit() []*apiv1.AuditRecord {
 	c.t.Helper()
-	records, err := c.client.Audit(contextOf(c.t), 0, "", 0)
+	records, err := c.client.Audit(testContext(c.t), 0, "", 0)
 	assert.NilError(c.t, err)
 	return records
 }
@@ -437,8 +436,8 @@
 	return connect.NewRequest(&apiv1.LogStatusRequest{})
 }
 
-// answers tells whether the node's admin listener is up.
-func answers(n *nodeProc) bool {
+// adminResponds reports whether the node's admin listener responds.
+func adminResponds(n *nodeProcess) bool {
 	resp, err := http.Get("http://" + n.admin + "/healthz")
 	if err != nil {
 		return false
@@ -447,8 +446,8 @@
 	return true
 }
 
-// ready tells whether the node says that callers may be sent to it.
-func (n *nodeProc) ready(t testing.TB) bool {
+// ready reports whether the node reports that it is ready for callers.
+func (n *nodeProcess) ready(t testing.TB) bool {
 	t.Helper()
 	resp, err := http.Get("http://" + n.admin + "/readyz")
 	assert.NilError(t, err)
@@ -456,8 +455,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// putServer announces a backend server to the node and tells whether it was taken in.
-func (n *nodeProc) putServer(announcement string) bool {
+// announceServer announces a backend server to the node and reports whether the node accepted it.
+func (n *nodeProcess) announceServer(announcement string) bool {
 	req, err := http.NewRequest(http.MethodPut, "http://"+n.admin+"/v1/server", strings.NewReader(announcement))
 	if err != nil {
 		return false
@@ -471,8 +470,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// server is what the node says of its backend server.
-func (n *nodeProc) server(t testing.TB) map[string]any {
+// serverStatus returns the node's report about its backend server.
+func (n *nodeProcess) serverStatus(t testing.TB) map[string]any {
 	t.Helper()
 	resp, err := http.Get("http://" + n.admin + "/v1/server")
 	assert.NilError(t, err)
--- a/internal/e2e/partition_test.go
+++ b/internal/e2e/partition_test.go
@@ -14,107 +14,108 @@
 	"cactuspath/internal/operator"
 )
 
-// cut passes connections on to an address until it is closed off. One cut
-// stands before each replica, so that closing it off isolates the replica from
-// the others while operators still reach it directly.
-type cut struct {
+// partitionProxy forwards connections to an address until it is partitioned. With one proxy in
+// front of each replica, a replica can be isolated from the others while operators still reach it
+// directly.
+type partitionProxy struct {
 	listener net.Listener
-	to       string
+	target   string
 
-	mu     sync.Mutex
-	closed bool
-	open   map[net.Conn]bool
+	mu          sync.Mutex
+	partitioned bool
+	conns       map[net.Conn]bool
 }
 
-func newCut(t *testing.T, to string) *cut {
+func newPartitionProxy(t *testing.T, to string) *partitionProxy {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	c := &cut{listener: l, to: to, open: map[net.Conn]bool{}}
+	c := &partitionProxy{listener: l, target: to, conns: map[net.Conn]bool{}}
 	go c.accept()
-	t.Cleanup(func() { _ = l.Close(); c.set(true) })
+	t.Cleanup(func() { _ = l.Close(); c.setPartitioned(true) })
 	return c
 }
 
-func (c *cut) accept() {
+func (c *partitionProxy) accept() {
 	for {
 		conn, err := c.listener.Accept()
 		if err != nil {
 			return
 		}
-		go c.pass(conn)
+		go c.forward(conn)
 	}
 }
 
-func (c *cut) pass(conn net.Conn) {
+func (c *partitionProxy) forward(conn net.Conn) {
 	defer conn.Close()
 	if !c.track(conn) {
 		return
 	}
-	there, err := net.Dial("tcp", c.to)
+	upstream, err := net.Dial("tcp", c.target)
 	if err != nil {
 		return
 	}
-	defer there.Close()
-	if !c.track(there) {
+	defer upstream.Close()
+	if !c.track(upstream) {
 		return
 	}
-	go func() { _, _ = io.Copy(there, conn); _ = there.Close() }()
-	_, _ = io.Copy(conn, there)
+	go func() { _, _ = io.Copy(upstream, conn); _ = upstream.Close() }()
+	_, _ = io.Copy(conn, upstream)
 }
 
-func (c *cut) track(conn net.Conn) bool {
+func (c *partitionProxy) track(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.closed {
-		c.open[conn] = true
+	if !c.partitioned {
+		c.conns[conn] = true
 	}
-	return !c.closed
+	return !c.partitioned
 }
 
-func (c *cut) set(closed bool) {
+func (c *partitionProxy) setPartitioned(partitioned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closed = closed
-	for conn := range c.open {
+	c.partitioned = partitioned
+	for conn := range c.conns {
 		_ = conn.Close()
 	}
-	c.open = map[net.Conn]bool{}
+	c.conns = map[net.Conn]bool{}
 }
 
-// A partition cuts the leader off from the other replicas for a long time, and
-// operators still reach it. It must not answer with the revision that it knew,
-// nor accept a change; the others go on, and after the cut it follows them.
+// Guards against stale reads from an isolated leader. A partition separates the leader from the
+// other replicas for a long time, while operators still reach it. It must neither respond with its
+// old revision nor accept a change. The others continue, and it must follow them after the
+// partition.
 func TestIsolatedLeaderAnswersNothingStale(t *testing.T) {
 	c := newCluster(t, 3)
-	var cuts []*cut
-	c.advertised = nil
-	for _, a := range c.control {
-		one := newCut(t, a)
-		cuts = append(cuts, one)
-		c.advertised = append(c.advertised, one.listener.Addr().String())
+	var proxies []*partitionProxy
+	c.advertisedAddresses = nil
+	for _, a := range c.controlAddresses {
+		proxy := newPartitionProxy(t, a)
+		proxies = append(proxies, proxy)
+		c.advertisedAddresses = append(c.advertisedAddresses, proxy.listener.Addr().String())
 	}
 	c.start()
-	ctx := contextOf(t)
+	ctx := testContext(t)
 	first, err := c.client.Submit(ctx, []byte(estateText("first", "hello")), 0, "first")
 	assert.NilError(t, err)
-	old := c.leader()
-	// Every path to and from the leader is closed: its own cut, and those of the
-	// others, which would carry its messages.
-	others := &operator.Client{Control: controlclient.New(nil, without(c.control, old), ""), Name: "tester"}
-	alone := &operator.Client{Control: controlclient.New(nil, []string{c.control[old]}, ""), Name: "tester"}
-	cuts[old].set(true)
+	isolated := c.leader()
+	// Close all connections to the isolated leader. The proxies of the other replicas, through
+	// which its own messages pass, stay open.
+	others := &operator.Client{Control: controlclient.New(nil, without(c.controlAddresses, isolated), ""), Name: "tester"}
+	isolatedOnly := &operator.Client{Control: controlclient.New(nil, []string{c.controlAddresses[isolated]}, ""), Name: "tester"}
+	proxies[isolated].setPartitioned(true)
 	second, err := others.Submit(ctx, []byte(estateText("second", "hello")), first.Revision, "second")
 	assert.NilError(t, err)
-	short, cancel := context.WithTimeout(context.Background(), 3*time.Second)
+	shortCtx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	shown, err := alone.Show(short, "trial")
+	shown, err := isolatedOnly.Show(shortCtx, "trial")
 	if err == nil {
-		assert.Equal(t, shown.Revision, second.Revision, "the isolated leader answered with the past")
+		assert.Equal(t, shown.Revision, second.Revision, "the isolated leader returned an old revision")
 	}
-	cuts[old].set(false)
+	proxies[isolated].setPartitioned(false)
 	eventually(t, "the old leader follows the others", func() bool {
-		resp, err := c.client.Control.At(c.control[old]).Log.LogStatus(ctx, logStatusRequest())
+		resp, err := c.client.Control.At(c.controlAddresses[isolated]).Log.LogStatus(ctx, logStatusRequest())
 		return err == nil && resp.Msg.LeaderId != resp.Msg.MemberId && resp.Msg.Commit >= second.Index
 	})
 }
--- a/internal/e2e/path_test.go
+++ b/internal/e2e/path_test.go
@@ -17,8 +17,8 @@
 	"cactuspath/api/fault"
 )
 
-// A caller's request goes through two nodes to a backend server, each of them a
-// process of its own: control replica, three nodes, three stand-ins, cactusctl.
+// Tests a request through two nodes to a backend server with all components as separate processes:
+// one control replica, four nodes, three backend servers and cactusctl.
 func TestWholePathAsSeparateProcesses(t *testing.T) {
 	c := newCluster(t, 1).start()
 	for range 3 {
@@ -29,28 +29,28 @@
 	assert.Equal(t, code, 0, out)
 	assert.Assert(t, strings.Contains(out, "accepted at revision 1"), out)
 	for _, n := range c.nodes {
-		n.serves(t, "hello")
+		n.waitServing(t, "hello")
 	}
 	resp, body, err := front.request(http.MethodGet, "hello", "/greeting?x=1", nil)
 	assert.NilError(t, err)
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
 	assert.Equal(t, body, "hello GET /greeting?x=1\n")
-	eventually(t, "status says that it is in force everywhere", func() bool {
+	eventually(t, "the status reports the revision in force on all nodes", func() bool {
 		_, out := c.ctl("status")
 		return strings.Contains(out, "revision 1: in force on 4 of 4 nodes")
 	})
 }
 
-// A backend server is killed while it runs a payment. Whether it ran is not
-// known: the caller must hear that at once, and nobody may run it again. A
-// request that may run twice is answered by another server instead.
+// Guards against a payment that is executed twice because its server was killed while running it.
+// Whether it was executed is unknown: the caller must be told so at once, and no other server may
+// execute it.
 func TestKilledBackendRunsPaymentAtMostOnce(t *testing.T) {
 	c := newCluster(t, 1).start()
 	one := c.addNode("")
 	backend := c.addBackend(one, "pay")
 	front := c.addNode("")
 	c.submit(estateText("pay", "pay"))
-	front.serves(t, "pay")
+	front.waitServing(t, "pay")
 	outcome := make(chan *http.Response, 1)
 	go func() {
 		resp, _, err := front.request(http.MethodPost, "pay", "/charge?id=p1&sleep=60s", strings.NewReader("amount=5"))
@@ -59,7 +59,7 @@
 		}
 		close(outcome)
 	}()
-	eventually(t, "the payment runs", func() bool { return running(t, one) == 1 })
+	eventually(t, "the payment is running", func() bool { return runningRequests(t, one) == 1 })
 	backend.kill()
 	resp := <-outcome
 	assert.Assert(t, resp != nil)
@@ -67,23 +67,23 @@
 	assert.Equal(t, resp.StatusCode, http.StatusBadGateway)
 }
 
-func running(t testing.TB, n *nodeProc) int {
-	load, ok := n.vars(t)["gate_load"].(map[string]any)
+func runningRequests(t testing.TB, n *nodeProcess) int {
+	load, ok := n.metrics(t)["gate_load"].(map[string]any)
 	if !ok {
 		return 0
 	}
 	return int(load["Running"].(float64))
 }
 
-// A node is frozen with a payment waiting at its gate, behind requests that
-// fill every slot. The caller's node loses the answer; when the frozen node
-// comes back it must not run the payment that the caller was told about.
+// Guards against reporting a request as not run whose node is frozen. The caller's node loses the
+// response of the frozen node, which may still execute the payment, so that the outcome must be
+// reported as unknown.
 func TestFrozenNodeIsNotCalledNotRun(t *testing.T) {
 	c := newCluster(t, 1).start()
 	one := c.addNode("pay")
 	front := c.addNode("")
 	c.submit(estateText("pay", "pay"))
-	front.serves(t, "pay")
+	front.waitServing(t, "pay")
 	one.freeze(t)
 	req, err := http.NewRequest(http.MethodPost, "http://"+front.callers+"/charge?id=p2", strings.NewReader("amount=5"))
 	assert.NilError(t, err)
@@ -96,14 +96,13 @@
 	assert.Equal(t, resp.Header.Get(fault.Header), string(fault.OutcomeUnknown))
 }
 
-// An answer breaks off in the middle. The caller must see a broken answer and
-// never a short one that looks whole.
+// Guards against an interrupted response that looks complete. The caller must get an error.
 func TestCutAnswerNeverLooksWhole(t *testing.T) {
 	c := newCluster(t, 1).start()
 	c.addNode("files")
 	front := c.addNode("")
 	c.submit(estateText("files", "files"))
-	front.serves(t, "files")
+	front.waitServing(t, "files")
 	_, body, err := front.request(http.MethodGet, "files", "/photo?reset=5000", nil)
 	assert.Assert(t, err != nil, "got %d bytes without an error", len(body))
 	_, body, err = front.request(http.MethodGet, "files", "/photo?bytes=300000", nil)
@@ -111,18 +110,19 @@
 	assert.Equal(t, len(body), 300000)
 }
 
-// A process is told to stop (SIGTERM) under load. Its backend server's requests
-// and its own callers' must all end well, and it must exit 0.
+// Guards against interrupted requests during a graceful stop (SIGTERM) under load. All requests of
+// the node's backend server and of its callers must be completed, and the node must exit with code
+// 0.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	c := newCluster(t, 1).start()
 	leaving := c.addNode("hello")
 	c.addNode("hello")
 	front := c.addNode("")
 	c.submit(estateText("hello", "hello"))
-	front.serves(t, "hello")
-	// Without the second backend server, the stop would leave the service with none.
-	front.knows(t, 2)
-	var answered, bad atomic.Int64
+	front.waitServing(t, "hello")
+	// Without the second backend server, the stop would leave the service without any.
+	front.waitEndpoints(t, 2)
+	var answered, failed atomic.Int64
 	var wait sync.WaitGroup
 	var stop atomic.Bool
 	for range 6 {
@@ -132,33 +132,33 @@
 				if err == nil && resp.StatusCode == http.StatusOK {
 					answered.Add(1)
 				} else {
-					bad.Add(1)
+					failed.Add(1)
 				}
 			}
 		})
 	}
-	eventually(t, "load runs", func() bool { return answered.Load() > 100 })
+	eventually(t, "requests are served", func() bool { return answered.Load() > 100 })
 	leaving.signal(syscall.SIGTERM)
 	<-leaving.done
 	after := answered.Load() + 100
-	eventually(t, "load goes on", func() bool { return answered.Load() > after || bad.Load() > 0 })
+	eventually(t, "requests are still served", func() bool { return answered.Load() > after || failed.Load() > 0 })
 	stop.Store(true)
 	wait.Wait()
-	assert.Equal(t, bad.Load(), int64(0))
+	assert.Equal(t, failed.Load(), int64(0))
 	assert.Equal(t, leaving.cmd.ProcessState.ExitCode(), 0, leaving.log.String())
 }
 
-// A node beside the only backend server of a service is told to stop. Its callers
-// have to be sent elsewhere first, which takes two seconds; a gate that closed at
-// once would leave the service without any backend server for all that time.
+// Guards against a node that closes its gate immediately on a graceful stop although its backend
+// server is the only one of the service. Callers take two seconds to switch to other nodes, and the
+// service would be unavailable for that time.
 func TestNodeThatStopsServesItsBackendServerForAWhile(t *testing.T) {
 	c := newCluster(t, 1).start()
 	leaving := c.addNode("hello")
 	front := c.addNode("")
 	c.submit(estateText("hello", "hello"))
-	front.serves(t, "hello")
+	front.waitServing(t, "hello")
 	leaving.signal(syscall.SIGTERM)
-	eventually(t, "it says that it is not ready", func() bool { return !leaving.ready(t) })
+	eventually(t, "the node reports that it is not ready", func() bool { return !leaving.ready(t) })
 	for range 10 {
 		resp, _, err := front.request(http.MethodPost, "hello", "/work?sleep=5ms", strings.NewReader("x"))
 		assert.NilError(t, err)
@@ -168,15 +168,15 @@
 	assert.Equal(t, leaving.cmd.ProcessState.ExitCode(), 0, leaving.log.String())
 }
 
-// Callers keep sending through a node that is told to stop. It must not wait for
-// a moment without any of them, which may never come, until its time runs out
-// and it cuts them: it stops taking new ones and ends with code 0.
+// Guards against a graceful stop that waits until no caller has a request in flight. This may never
+// happen while callers keep sending, and at the timeout their requests would be interrupted. The
+// node must refuse new requests and exit with code 0.
 func TestStopDoesNotWaitForCallersToPause(t *testing.T) {
 	c := newCluster(t, 1).start()
 	c.addNode("hello")
 	leaving := c.addNode("")
 	c.submit(estateText("hello", "hello"))
-	leaving.serves(t, "hello")
+	leaving.waitServing(t, "hello")
 	var answered atomic.Int64
 	var wait sync.WaitGroup
 	for range 6 {
@@ -192,65 +192,67 @@
 			}
 		})
 	}
-	eventually(t, "load runs", func() bool { return answered.Load() > 100 })
+	eventually(t, "requests are served", func() bool { return answered.Load() > 100 })
 	leaving.signal(syscall.SIGTERM)
 	<-leaving.done
 	wait.Wait()
 	assert.Equal(t, leaving.cmd.ProcessState.ExitCode(), 0, leaving.log.String())
 }
 
-// A drained host gets no new work once its gate knows, and cactusctl answers
-// only when nothing runs there any more.
+// Guards against a drain that is confirmed too early. Once the gate has processed the drain, the
+// host must not get new requests, and cactusctl must return only when no request is running there
+// any more.
 func TestDrainAnswersWhenSafe(t *testing.T) {
 	c := newCluster(t, 1).start()
 	one := c.addNode("hello")
 	c.addNode("hello")
 	front := c.addNode("")
 	c.submit(estateText("hello", "hello"))
-	front.serves(t, "hello")
-	front.knows(t, 2)
+	front.waitServing(t, "hello")
+	front.waitEndpoints(t, 2)
 	code, out := c.ctl("drain", one.host)
 	assert.Equal(t, code, 0, out)
 	assert.Assert(t, strings.Contains(out, one.host+" is safe to stop"), out)
-	started := one.vars(t)["gate_started"].(float64)
+	started := one.metrics(t)["gate_started"].(float64)
 	for range 50 {
 		resp, _, err := front.request(http.MethodGet, "hello", "/", nil)
 		assert.NilError(t, err)
 		assert.Equal(t, resp.StatusCode, http.StatusOK)
 	}
-	assert.Equal(t, one.vars(t)["gate_started"].(float64), started)
+	assert.Equal(t, one.metrics(t)["gate_started"].(float64), started)
 }
 
-// A big upload streams through two nodes without growing them.
+// Guards against nodes that buffer a large upload in memory. The upload is streamed through two
+// nodes.
 func TestUploadStreamsUnderBoundedMemory(t *testing.T) {
 	c := newCluster(t, 1).start()
 	one := c.addNode("files")
 	front := c.addNode("")
 	c.submit(estateText("files", "files"))
-	front.serves(t, "files")
+	front.waitServing(t, "files")
 	const size = 256 << 20
-	resp, _, err := front.request(http.MethodPost, "files", "/capture", &limited{left: size})
+	resp, _, err := front.request(http.MethodPost, "files", "/capture", &boundedReader{remaining: size})
 	assert.NilError(t, err)
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
 	assert.Equal(t, resp.Header.Get("Standin-Received"), "268435456")
-	for _, n := range []*nodeProc{one, front} {
-		assert.Assert(t, residentMB(t, n.proc) < 64, "%s holds %d MB", n.host, residentMB(t, n.proc))
+	for _, n := range []*nodeProcess{one, front} {
+		assert.Assert(t, residentMB(t, n.process) < 64, "%s uses %d MB", n.host, residentMB(t, n.process))
 	}
 }
 
-type limited struct{ left int }
+type boundedReader struct{ remaining int }
 
-func (l *limited) Read(p []byte) (int, error) {
-	n := min(len(p), l.left)
-	l.left -= n
+func (l *boundedReader) Read(p []byte) (int, error) {
+	n := min(len(p), l.remaining)
+	l.remaining -= n
 	if n == 0 {
 		return 0, io.EOF
 	}
 	return n, nil
 }
 
-// residentMB is a process's resident memory.
-func residentMB(t testing.TB, p *proc) int {
+// residentMB returns the resident memory of a process in MB.
+func residentMB(t testing.TB, p *process) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	assert.NilError(t, err)
--- a/internal/e2e/processor_test.go
+++ b/internal/e2e/processor_test.go
@@ -24,7 +24,7 @@
 
 // throttle stops the process except for throttleRunTime in each throttlePeriod, as a
 // processor quota does, until stop is closed.
-func (p *proc) throttle(stop <-chan struct{}) {
+func (p *process) throttle(stop <-chan struct{}) {
 	for {
 		p.signal(syscall.SIGSTOP)
 		select {
@@ -43,7 +43,7 @@
 
 // call sends requests sequentially, each on a new connection, until stop is closed. After
 // a refusal it waits for the time that the response gives.
-func (c *requestCounts) call(n *nodeProc, stop <-chan struct{}) {
+func (c *requestCounts) call(n *nodeProcess, stop <-chan struct{}) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
 		select {
@@ -56,7 +56,7 @@
 }
 
 // send sends one request and returns the delay before the next one.
-func (c *requestCounts) send(client *http.Client, n *nodeProc) time.Duration {
+func (c *requestCounts) send(client *http.Client, n *nodeProcess) time.Duration {
 	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.callers+"/", nil)
@@ -91,9 +91,9 @@
 func TestCallersOfAThrottledNodeAreAnswered(t *testing.T) {
 	const callers = 200
 	c := newCluster(t, 1).start()
-	n := c.addNodeWith(nodeSetup{dataCenter: "dc-a", service: "pay", env: oneProcessor})
+	n := c.addNodeWith(nodeOptions{dataCenter: "dc-a", service: "pay", env: singleProcessorEnv})
 	c.submit(estateText("throttled", "pay"))
-	n.serves(t, "pay")
+	n.waitServing(t, "pay")
 	stop := make(chan struct{})
 	var running sync.WaitGroup
 	running.Go(func() { n.throttle(stop) })
--- a/internal/e2e/recording_proxy_test.go
+++ b/internal/e2e/recording_proxy_test.go
@@ -12,78 +12,78 @@
 	"gotest.tools/v3/assert"
 )
 
-// tap stands before a node's listener for other nodes. It passes on what they say to
-// each other and keeps it.
-type tap struct {
+// recordingProxy is a proxy in front of a node's peer listener. It forwards and records the traffic
+// between nodes.
+type recordingProxy struct {
 	address string
-	to      string
-	// passes tells whether what the node has answered, and what waits here, may go on
-	// to the other side; it goes in one write. Nil lets all pass.
-	passes func(c *tapped, waiting []byte) bool
+	target  string
+	// mayForward reports whether the pending response bytes may be forwarded, which happens in a
+	// single write. If it is nil, all bytes are forwarded immediately.
+	mayForward func(c *recordedConn, waiting []byte) bool
 
 	mu    sync.Mutex
-	conns []*tapped
+	conns []*recordedConn
 }
 
-// tapped is what passed on one connection.
-type tapped struct {
-	mu             sync.Mutex
-	sent, answered []byte
-	pieces         []answerPiece
+// recordedConn is the recorded traffic of a connection.
+type recordedConn struct {
+	mu                  sync.Mutex
+	requests, responses []byte
+	responsePieces      []responsePiece
 }
 
-// answerPiece tells how much had been sent when a piece of the answers came that
-// begins at a place. It may count bytes that the node has not read yet.
-type answerPiece struct{ at, sent int }
+// responsePiece records how many request bytes had been forwarded when the response bytes starting
+// at offset were received. The count may include bytes that the node has not read yet.
+type responsePiece struct{ offset, requestBytes int }
 
-func newTap(t *testing.T, passes func(c *tapped, waiting []byte) bool) *tap {
+func newRecordingProxy(t *testing.T, mayForward func(c *recordedConn, waiting []byte) bool) *recordingProxy {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
-	k := &tap{address: l.Addr().String(), passes: passes}
+	k := &recordingProxy{address: l.Addr().String(), mayForward: mayForward}
 	go func() {
 		for {
-			near, err := l.Accept()
+			downstream, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go k.join(near)
+			go k.forward(downstream)
 		}
 	}()
 	return k
 }
 
-// before puts the tap before a listener.
-func (k *tap) before(peer string) string {
-	k.to = peer
+// interpose sets the target and returns the address of the proxy.
+func (k *recordingProxy) interpose(peer string) string {
+	k.target = peer
 	return k.address
 }
 
-func (k *tap) join(near net.Conn) {
-	defer near.Close()
-	far, err := net.Dial("tcp", k.to)
+func (k *recordingProxy) forward(downstream net.Conn) {
+	defer downstream.Close()
+	upstream, err := net.Dial("tcp", k.target)
 	if err != nil {
 		return
 	}
-	defer far.Close()
-	c := &tapped{}
+	defer upstream.Close()
+	c := &recordedConn{}
 	k.mu.Lock()
 	k.conns = append(k.conns, c)
 	k.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { c.carryRequests(far, near) })
-	both.Go(func() { c.carryAnswers(near, far, k.passes) })
-	both.Wait()
+	var wait sync.WaitGroup
+	wait.Go(func() { c.forwardRequests(upstream, downstream) })
+	wait.Go(func() { c.forwardResponses(downstream, upstream, k.mayForward) })
+	wait.Wait()
 }
 
-func (c *tapped) carryRequests(to, from net.Conn) {
+func (c *recordedConn) forwardRequests(to, from net.Conn) {
 	defer func() { _ = to.(*net.TCPConn).CloseWrite() }()
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
 		c.mu.Lock()
-		c.sent = append(c.sent, buffer[:n]...)
+		c.requests = append(c.requests, buffer[:n]...)
 		c.mu.Unlock()
 		if _, werr := to.Write(buffer[:n]); err != nil || werr != nil {
 			return
@@ -91,98 +91,101 @@
 	}
 }
 
-func (c *tapped) carryAnswers(to, from net.Conn, passes func(*tapped, []byte) bool) {
-	// Closed and not only ended: what the other side still sends has nobody to read it.
+func (c *recordedConn) forwardResponses(to, from net.Conn, mayForward func(*recordedConn, []byte) bool) {
+	// Close both directions: nothing reads what the other side still sends.
 	defer to.Close()
 	buffer := make([]byte, 32<<10)
-	var waiting []byte
+	var pending []byte
 	for {
 		n, err := from.Read(buffer)
 		c.mu.Lock()
-		c.pieces = append(c.pieces, answerPiece{len(c.answered), len(c.sent)})
-		c.answered = append(c.answered, buffer[:n]...)
+		c.responsePieces = append(c.responsePieces, responsePiece{len(c.responses), len(c.requests)})
+		c.responses = append(c.responses, buffer[:n]...)
 		c.mu.Unlock()
-		waiting = append(waiting, buffer[:n]...)
-		if err == nil && passes != nil && !passes(c, waiting) {
+		pending = append(pending, buffer[:n]...)
+		if err == nil && mayForward != nil && !mayForward(c, pending) {
 			continue
 		}
-		if _, werr := to.Write(waiting); err != nil || werr != nil {
+		if _, werr := to.Write(pending); err != nil || werr != nil {
 			return
 		}
-		waiting = waiting[:0]
+		pending = pending[:0]
 	}
 }
 
-// copied is what passed until now.
-func (c *tapped) copied() *tapped {
+// snapshot returns a copy of the traffic recorded so far.
+func (c *recordedConn) snapshot() *recordedConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return &tapped{sent: bytes.Clone(c.sent), answered: bytes.Clone(c.answered), pieces: append([]answerPiece(nil), c.pieces...)}
+	return &recordedConn{requests: bytes.Clone(c.requests), responses: bytes.Clone(c.responses), responsePieces: append([]responsePiece(nil), c.responsePieces...)}
 }
 
-// lastPath is the path of the newest request with the method: no body holds the text
-// that it is found by, since each byte of one differs from the byte before by 31 or 32.
-func (c *tapped) lastPath(method string) string {
+// lastPath returns the path of the last request with the method. The search text does not occur in
+// bodies, as each byte of a body differs from the previous one by 31 or 32.
+func (c *recordedConn) lastPath(method string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	at := bytes.LastIndex(c.sent, []byte(method+" /"))
+	at := bytes.LastIndex(c.requests, []byte(method+" /"))
 	if at < 0 {
 		return ""
 	}
-	path, _, _ := bytes.Cut(c.sent[at+len(method)+1:], []byte(" "))
+	path, _, _ := bytes.Cut(c.requests[at+len(method)+1:], []byte(" "))
 	return string(path)
 }
 
-// seen are the connections that carried a text.
-func (k *tap) seen(text string) []*tapped {
+// connsContaining returns the connections whose requests contain text.
+func (k *recordingProxy) connsContaining(text string) []*recordedConn {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	var list []*tapped
+	var list []*recordedConn
 	for _, c := range k.conns {
-		if copied := c.copied(); bytes.Contains(copied.sent, []byte(text)) {
+		if copied := c.snapshot(); bytes.Contains(copied.requests, []byte(text)) {
 			list = append(list, copied)
 		}
 	}
 	return list
 }
 
-// sentBefore is how much had been sent when the answers' byte at a place came.
-func (c *tapped) sentBefore(place int) int {
-	sent := 0
-	for _, p := range c.pieces {
-		if p.at <= place {
-			sent = p.sent
+// requestBytesBefore returns the number of request bytes recorded when the response byte at offset
+// was received.
+func (c *recordedConn) requestBytesBefore(offset int) int {
+	requestBytes := 0
+	for _, p := range c.responsePieces {
+		if p.offset <= offset {
+			requestBytes = p.requestBytes
 		}
 	}
-	return sent
+	return requestBytes
 }
 
-const asksForBody = "HTTP/1.1 100 Continue\r\n\r\n"
+const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// asks tells whether what a node answered is only that it wants the body.
-func asks(waiting []byte) bool { return string(waiting) == asksForBody }
+// isContinue reports whether the pending response bytes are exactly a 100 Continue.
+func isContinue(pending []byte) bool { return string(pending) == continueResponse }
 
-// endsHead tells whether there is a whole head behind the word that asks for the body.
-func endsHead(waiting []byte) bool {
-	rest, asked := bytes.CutPrefix(waiting, []byte(asksForBody))
-	return !asked || bytes.Contains(rest, []byte("\r\n\r\n"))
+// hasHeadAfterContinue reports whether a complete head follows the 100 Continue, or there is no 100
+// Continue.
+func hasHeadAfterContinue(pending []byte) bool {
+	rest, continued := bytes.CutPrefix(pending, []byte(continueResponse))
+	return !continued || bytes.Contains(rest, []byte("\r\n\r\n"))
 }
 
-// place counts what a parser has taken out of a text.
-type place struct {
+// offsetReader tracks how many bytes a parser has consumed.
+type offsetReader struct {
 	text *bytes.Reader
 	*bufio.Reader
 }
 
-func newPlace(text []byte) *place {
+func newOffsetReader(text []byte) *offsetReader {
 	r := bytes.NewReader(text)
-	return &place{r, bufio.NewReader(r)}
+	return &offsetReader{r, bufio.NewReader(r)}
 }
 
-func (p *place) at() int { return int(p.text.Size()) - p.text.Len() - p.Buffered() }
+func (p *offsetReader) offset() int { return int(p.text.Size()) - p.text.Len() - p.Buffered() }
 
-// finalAnswer reads up to the end of a final answer's head.
-func finalAnswer(r *bufio.Reader, req *http.Request) (resp *http.Response, interims int, err error) {
+// readFinalResponse reads up to the end of the head of the final response and counts the interim
+// ones.
+func readFinalResponse(r *bufio.Reader, req *http.Request) (resp *http.Response, interims int, err error) {
 	for {
 		resp, err = http.ReadResponse(r, req)
 		if err != nil || resp.StatusCode >= http.StatusOK {
@@ -192,26 +195,26 @@
 	}
 }
 
-// signals are given once each, by name.
-type signals struct {
-	mu  sync.Mutex
-	all map[string]chan struct{}
+// events is a set of named one-time events.
+type events struct {
+	mu       sync.Mutex
+	channels map[string]chan struct{}
 }
 
-func (s *signals) of(name string) chan struct{} {
+func (s *events) channel(name string) chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.all == nil {
-		s.all = map[string]chan struct{}{}
+	if s.channels == nil {
+		s.channels = map[string]chan struct{}{}
 	}
-	if s.all[name] == nil {
-		s.all[name] = make(chan struct{})
+	if s.channels[name] == nil {
+		s.channels[name] = make(chan struct{})
 	}
-	return s.all[name]
+	return s.channels[name]
 }
 
-func (s *signals) give(name string) {
-	c := s.of(name)
+func (s *events) fire(name string) {
+	c := s.channel(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
@@ -221,14 +224,14 @@
 	}
 }
 
-// scripted is a backend server that does what a test says with each request for a
-// path other than "/", as long as serve says that the connection goes on.
-func scripted(t *testing.T, serve func(s *checkingServer, c net.Conn, req *http.Request) bool) *checkingServer {
+// startScriptedServer starts a backend server that passes each request for a path other than "/" to
+// serve, and closes the connection when serve returns false.
+func startScriptedServer(t *testing.T, serve func(s *checkingServer, c net.Conn, req *http.Request) bool) *checkingServer {
 	t.Helper()
-	return listening(t, func(s *checkingServer, c net.Conn) { s.follow(c, serve) })
+	return startServer(t, func(s *checkingServer, c net.Conn) { s.serveScripted(c, serve) })
 }
 
-func (s *checkingServer) follow(c net.Conn, serve func(s *checkingServer, c net.Conn, req *http.Request) bool) {
+func (s *checkingServer) serveScripted(c net.Conn, serve func(s *checkingServer, c net.Conn, req *http.Request) bool) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -237,7 +240,7 @@
 			return
 		}
 		if req.URL.Path == "/" {
-			_, _ = io.WriteString(c, shortAnswer)
+			_, _ = io.WriteString(c, shortResponse)
 			continue
 		}
 		if !serve(s, c, req) {
@@ -246,4 +249,4 @@
 	}
 }
 
-const shortAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const shortResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
--- a/internal/e2e/scale_test.go
+++ b/internal/e2e/scale_test.go
@@ -22,27 +22,27 @@
 	scaleChanges  = 8
 )
 
-// BenchmarkScale runs one data centre of 13, 50, 100 and 200 node processes and
-// measures what control costs each.
+// BenchmarkScale runs a data centre with 13, 50, 100 and 200 node processes and measures the cost
+// of the control plane for each process.
 //
 //	go test ./internal/e2e -run '^$' -bench Scale -benchtime 1x -timeout 30m -args -record ../../docs/measurements
 func BenchmarkScale(b *testing.B) {
 	for b.Loop() {
 		var runs []capacity.ScaleRun
-		for _, n := range sizes(b) {
+		for _, n := range nodeCounts(b) {
 			b.Run(fmt.Sprint(n), func(b *testing.B) {
 				r := measureScale(b, n)
 				fmt.Printf("%+v\n", r)
 				runs = append(runs, r)
 			})
 		}
-		keep(b, "scale.json", "control of one data centre of node processes, no calls", "go test ./internal/e2e -run '^$' -bench Scale -benchtime 1x -timeout 30m", runs)
+		writeMeasurement(b, "scale.json", "control of one data centre of node processes, no calls", "go test ./internal/e2e -run '^$' -bench Scale -benchtime 1x -timeout 30m", runs)
 	}
 }
 
 var scaleSizes = flag.String("sizes", "13,50,100,200", "numbers of node processes that BenchmarkScale runs")
 
-func sizes(b *testing.B) []int {
+func nodeCounts(b *testing.B) []int {
 	var list []int
 	for _, s := range strings.Split(*scaleSizes, ",") {
 		n, err := strconv.Atoi(s)
@@ -64,26 +64,26 @@
 	c.submit(estateText("scale", services...))
 	stop := announceAll(b, c)
 	defer stop()
-	eventually(b, "all nodes know their service's endpoints", func() bool { return knowAll(b, c) })
+	eventually(b, "all nodes know their service's endpoints", func() bool { return allEndpointsKnown(b, c) })
 	time.Sleep(3 * time.Second)
 
 	r := capacity.ScaleRun{Nodes: size}
-	before, start := c.snapshots(b), time.Now()
+	before, start := c.usage(b), time.Now()
 	time.Sleep(scaleWindow)
-	c.costs(b, &r, before, c.snapshots(b), time.Since(start))
-	c.measureForce(b, &r, services)
-	c.measureNotice(b, &r)
+	c.computeUsage(b, &r, before, c.usage(b), time.Since(start))
+	c.measureApplyTime(b, &r, services)
+	c.measureFailureDetection(b, &r)
 	return r
 }
 
-// announceAll announces a backend server beside every node and renews it.
+// announceAll announces a backend server to every node repeatedly until stop is called.
 func announceAll(b *testing.B, c *cluster) (stop func()) {
 	done := make(chan struct{})
 	var wait sync.WaitGroup
 	for i, n := range c.nodes {
 		wait.Go(func() {
 			for {
-				n.putServer(fmt.Sprintf(`{"service": "service-%d", "address": "127.0.0.1:9"}`, i%scaleServices))
+				n.announceServer(fmt.Sprintf(`{"service": "service-%d", "address": "127.0.0.1:9"}`, i%scaleServices))
 				select {
 				case <-done:
 					return
@@ -95,7 +95,7 @@
 	return func() { close(done); wait.Wait() }
 }
 
-func knowAll(b *testing.B, c *cluster) bool {
+func allEndpointsKnown(b *testing.B, c *cluster) bool {
 	for i, n := range c.nodes {
 		want := 0
 		for j := range c.nodes {
@@ -103,73 +103,73 @@
 				want++
 			}
 		}
-		if int(n.vars(b)["directory_known_endpoints"].(float64)) < want {
+		if int(n.metrics(b)["directory_known_endpoints"].(float64)) < want {
 			return false
 		}
 	}
 	return true
 }
 
-// procCost is a process's use of the machine so far.
-type procCost struct {
-	cpu   float64
-	mb    float64
-	relay bool
-	vars  map[string]any
+// processUsage is the cumulative resource usage of a process.
+type processUsage struct {
+	cpu        float64
+	residentMB float64
+	relay      bool
+	vars       map[string]any
 }
 
-func (c *cluster) snapshots(b testing.TB) []procCost {
-	var list []procCost
+func (c *cluster) usage(b testing.TB) []processUsage {
+	var list []processUsage
 	for _, n := range c.nodes {
-		v := n.vars(b)
-		list = append(list, procCost{cpuSeconds(b, n.proc), float64(residentMB(b, n.proc)), v["directory_acts_as_relay"].(bool), v})
+		v := n.metrics(b)
+		list = append(list, processUsage{cpuSeconds(b, n.process), float64(residentMB(b, n.process)), v["directory_acts_as_relay"].(bool), v})
 	}
 	l := c.replicas[0]
-	return append(list, procCost{cpu: cpuSeconds(b, l), mb: float64(residentMB(b, l))})
+	return append(list, processUsage{cpu: cpuSeconds(b, l), residentMB: float64(residentMB(b, l))})
 }
 
-func (c *cluster) costs(b testing.TB, r *capacity.ScaleRun, before, after []procCost, took time.Duration) {
+func (c *cluster) computeUsage(b testing.TB, r *capacity.ScaleRun, before, after []processUsage, took time.Duration) {
 	seconds := took.Seconds()
-	plain := 0.0
+	plainNodes := 0.0
 	for i := range c.nodes {
 		cpu := (after[i].cpu - before[i].cpu) / seconds * 100
-		r.FalseAlarms += number(after[i].vars, "directory_relay_false_alarms")
-		r.FalseFailed += number(after[i].vars, "directory_relay_marked_failed")
+		r.FalseAlarms += metric(after[i].vars, "directory_relay_false_alarms")
+		r.FalseFailed += metric(after[i].vars, "directory_relay_marked_failed")
 		if after[i].relay {
 			r.Relays++
 			r.RelayCPU += cpu
-			r.RelayMB = max(r.RelayMB, after[i].mb)
+			r.RelayMB = max(r.RelayMB, after[i].residentMB)
 			continue
 		}
-		plain++
+		plainNodes++
 		r.NodeCPU += cpu
-		r.NodeMB = max(r.NodeMB, after[i].mb)
+		r.NodeMB = max(r.NodeMB, after[i].residentMB)
 		for _, name := range []string{"directory_bytes_in", "directory_bytes_out", "control_bytes_in", "control_bytes_out"} {
-			r.NodeBytes += (number(after[i].vars, name) - number(before[i].vars, name)) / seconds
+			r.NodeBytes += (metric(after[i].vars, name) - metric(before[i].vars, name)) / seconds
 		}
-		r.NodeMessages += (number(after[i].vars, "directory_heartbeats") - number(before[i].vars, "directory_heartbeats")) / seconds
+		r.NodeMessages += (metric(after[i].vars, "directory_heartbeats") - metric(before[i].vars, "directory_heartbeats")) / seconds
 	}
-	r.NodeBytes /= plain
-	r.NodeMessages /= plain
-	r.NodeCPU /= plain
+	r.NodeBytes /= plainNodes
+	r.NodeMessages /= plainNodes
+	r.NodeCPU /= plainNodes
 	r.RelayCPU /= float64(max(1, r.Relays))
 	last := len(after) - 1
 	r.LeaderCPU = (after[last].cpu - before[last].cpu) / seconds * 100
-	r.LeaderMB = after[last].mb
+	r.LeaderMB = after[last].residentMB
 }
 
-func number(vars map[string]any, name string) float64 {
+func metric(vars map[string]any, name string) float64 {
 	v, _ := vars[name].(float64)
 	return v
 }
 
-// measureForce submits changes and reads when each node applied them.
-func (c *cluster) measureForce(b testing.TB, r *capacity.ScaleRun, services []string) {
+// measureApplyTime submits changes and measures when each node has applied them.
+func (c *cluster) measureApplyTime(b testing.TB, r *capacity.ScaleRun, services []string) {
 	var took []float64
 	for i := range scaleChanges {
 		revision := c.submitOnly(b, estateText(fmt.Sprint("change ", i), append(services, fmt.Sprint("extra-", i))...))
 		accepted := time.Now().UnixMilli()
-		eventually(b, "in force everywhere", func() bool {
+		eventually(b, "the revision is in force on all nodes", func() bool {
 			for _, n := range c.nodes {
 				if n.revision(b) < revision {
 					return false
@@ -178,16 +178,16 @@
 			return true
 		})
 		for _, n := range c.nodes {
-			took = append(took, max(0, number(n.vars(b), "configuration_changed_unix_ms")-float64(accepted)))
+			took = append(took, max(0, metric(n.metrics(b), "configuration_changed_unix_ms")-float64(accepted)))
 		}
 	}
 	sort.Float64s(took)
 	r.ForceP50, r.ForceP99, r.ForceMax = took[len(took)/2], took[len(took)*99/100], took[len(took)-1]
 }
 
-// submitOnly has a text accepted and does not wait for it to be in force.
+// submitOnly submits a text based on the latest revision without waiting until it is in force.
 func (c *cluster) submitOnly(b testing.TB, text string) uint64 {
-	ctx := contextOf(b)
+	ctx := testContext(b)
 	shown, err := c.client.Show(ctx, "trial")
 	assert.NilError(b, err)
 	record, err := c.client.Submit(ctx, []byte(text), shown.Revision, fmt.Sprint("c-", time.Now().UnixNano()))
@@ -195,35 +195,35 @@
 	return record.Revision
 }
 
-// measureNotice kills a node that is no relay and waits until the others of its
-// service dropped it.
-func (c *cluster) measureNotice(b testing.TB, r *capacity.ScaleRun) {
-	victim := -1
+// measureFailureDetection kills a node that is not a relay and waits until the other nodes of its
+// service have removed its endpoint.
+func (c *cluster) measureFailureDetection(b testing.TB, r *capacity.ScaleRun) {
+	killed := -1
 	for i, n := range c.nodes {
-		if !n.vars(b)["directory_acts_as_relay"].(bool) {
-			victim = i
+		if !n.metrics(b)["directory_acts_as_relay"].(bool) {
+			killed = i
 		}
 	}
-	var peers []*nodeProc
+	var peers []*nodeProcess
 	known := map[string]float64{}
 	for i, n := range c.nodes {
-		if i != victim && i%scaleServices == victim%scaleServices {
+		if i != killed && i%scaleServices == killed%scaleServices {
 			peers = append(peers, n)
-			known[n.host] = number(n.vars(b), "directory_known_endpoints")
+			known[n.host] = metric(n.metrics(b), "directory_known_endpoints")
 		}
 	}
-	c.nodes[victim].kill()
-	killed := time.Now().UnixMilli()
+	c.nodes[killed].kill()
+	killedAt := time.Now().UnixMilli()
 	for _, n := range peers {
-		eventually(b, n.host+" dropped the dead node", func() bool { return number(n.vars(b), "directory_known_endpoints") < known[n.host] })
-		r.NoticeMax = max(r.NoticeMax, number(n.vars(b), "directory_changed_unix_ms")-float64(killed))
+		eventually(b, n.host+" has removed the killed node", func() bool { return metric(n.metrics(b), "directory_known_endpoints") < known[n.host] })
+		r.NoticeMax = max(r.NoticeMax, metric(n.metrics(b), "directory_changed_unix_ms")-float64(killedAt))
 	}
 }
 
 const ticksPerSecond = 100
 
-// cpuSeconds is the processor time a process has used.
-func cpuSeconds(t testing.TB, p *proc) float64 {
+// cpuSeconds returns the processor time used by a process.
+func cpuSeconds(t testing.TB, p *process) float64 {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	assert.NilError(t, err)
--- a/internal/e2e/tls_test.go
+++ b/internal/e2e/tls_test.go
@@ -13,27 +13,27 @@
 	"cactuspath/internal/transport"
 )
 
-// All processes speak TLS with certificates of one authority. The whole path
-// works; a tool without a certificate gets no answer.
+// Guards against failures with TLS between all processes, with certificates of one authority.
+// Requests must be served, and a command without a certificate must get no response.
 func TestWholePathWithTLS(t *testing.T) {
 	c := newCluster(t, 1)
 	files := transport.TLSFiles(testcert.Write(t, c.folder))
-	c.tls = fmt.Sprintf(`"tls": {"certificate": %q, "key": %q, "authority": %q},`, files.Certificate, files.Key, files.Authority)
-	c.ctlTLS = []string{"--tls-certificate", files.Certificate, "--tls-key", files.Key, "--tls-authority", files.Authority}
+	c.tlsSettings = fmt.Sprintf(`"tls": {"certificate": %q, "key": %q, "authority": %q},`, files.Certificate, files.Key, files.Authority)
+	c.ctlTLSFlags = []string{"--tls-certificate", files.Certificate, "--tls-key", files.Key, "--tls-authority", files.Authority}
 	c.start()
 	security, err := transport.NewSecurity(files)
 	assert.NilError(t, err)
-	c.client = &operator.Client{Control: controlclient.New(security, c.control, ""), Name: "tester"}
+	c.client = &operator.Client{Control: controlclient.New(security, c.controlAddresses, ""), Name: "tester"}
 	c.addNode("hello")
 	front := c.addNode("")
 	c.submit(estateText("tls", "hello"))
-	front.serves(t, "hello")
+	front.waitServing(t, "hello")
 	for range 5 {
 		resp, body, err := front.request(http.MethodGet, "hello", "/x", nil)
 		assert.NilError(t, err)
 		assert.Equal(t, resp.StatusCode, http.StatusOK)
 		assert.Equal(t, body, "hello GET /x\n")
 	}
-	code, out := c.run("cactusctl", "--control", c.control[0], "--timeout", "2s", "status")
+	code, out := c.run("cactusctl", "--control", c.controlAddresses[0], "--timeout", "2s", "status")
 	assert.Equal(t, code, operator.ExitUnreachable, out)
 }
