--- a/core/gate/admit.go
+++ b/core/gate/admit.go
@@ -122,7 +122,7 @@
 }
 
 func (g *Gate) refuse(now time.Duration, it *item, reason Reason) {
-	g.emit(Event{Kind: Refused, Handle: it.Handle, Reason: reason, RetryAfter: g.retryAfter(now), Everywhere: g.fullEverywhere(now)})
+	g.emit(Event{Kind: Refused, Handle: it.Handle, Reason: reason, RetryAfter: g.retryAfter(now), SiblingsFull: g.fullEverywhere(now)})
 }
 
 // queueFullPercent is the fill level of the queue, in percent, that is reported to
--- a/core/gate/bench_test.go
+++ b/core/gate/bench_test.go
@@ -17,13 +17,13 @@
 	}
 	g.SetSiblings(list)
 	for i, s := range list {
-		g.Learn(0, Report{Host: s.Host, Incarnation: 1, Sequence: 1, Load: Load{Running: 12, Slots: 12, Service: 100 * ms, Crowd: 1.5 + float64(i)/100}})
+		g.ApplyReport(0, Report{Host: s.Host, Incarnation: 1, Sequence: 1, Load: Load{Running: 12, Slots: 12, Service: 100 * ms, Contention: 1.5 + float64(i)/100}})
 	}
 	now := time.Duration(0)
 	b.ReportAllocs()
 	for i := range b.N {
 		h := Handle(i + 1)
-		g.Observe(now, 1)
+		g.ObserveSlowdown(now, 1)
 		g.Arrive(now, classRequest(h, "lookup", 200*ms, now))
 		now += 60 * ms
 		g.Finish(now, h, Completed)
--- a/core/gate/cold.go
+++ b/core/gate/cold.go
@@ -51,9 +51,9 @@
 	return g.takeEvents()
 }
 
-// AssumeStarts counts half of the cold-start limit as used: the preceding process,
-// about whose starts this gate knows nothing, ended less than coldWindow ago.
-func (g *Gate) AssumeStarts(now time.Duration) {
+// AssumeEarlierStarts counts half of the cold-start limit as used: the preceding
+// process, about whose starts this gate knows nothing, ended less than coldWindow ago.
+func (g *Gate) AssumeEarlierStarts(now time.Duration) {
 	for range (g.config.ColdStarts + 1) / 2 {
 		g.cold.recordStart(now, g.config.ColdStarts)
 	}
--- a/core/gate/cold_test.go
+++ b/core/gate/cold_test.go
@@ -56,7 +56,7 @@
 					h := running[len(running)-1]
 					running = running[:len(running)-1]
 					delete(sent, h)
-					take(g.Reconsider(now, h))
+					take(g.ReconsiderAfterBody(now, h))
 				}
 			case 2, 3:
 				if len(running) > 0 {
@@ -119,7 +119,7 @@
 	assert.DeepEqual(t, kinds(events), []EventKind{Refused})
 	assert.Assert(t, events[0].RetryAfter > 0)
 	later := now + 1000*ms
-	g.Observe(later, 1)
+	g.ObserveSlowdown(later, 1)
 	assert.DeepEqual(t, kinds(g.Arrive(later, classRequest(101, "work", 400*ms, later))), []EventKind{Started})
 }
 
@@ -138,7 +138,7 @@
 // within a second.
 func TestNewProcessLeavesRoomForEarlierStarts(t *testing.T) {
 	g := coldGate(0)
-	g.AssumeStarts(0)
+	g.AssumeEarlierStarts(0)
 	g.SetCold(0, 3*time.Second)
 	started := 0
 	for now := time.Duration(0); now < time.Second; now += 10 * ms {
--- a/core/gate/contention.go
+++ b/core/gate/contention.go
@@ -120,8 +120,8 @@
 		found = append(found, localFactor)
 	}
 	for _, sib := range g.siblings.list {
-		if sib.known && sib.report.Load.Crowd > 0 {
-			found = append(found, sib.report.Load.Crowd)
+		if sib.known && sib.report.Load.Contention > 0 {
+			found = append(found, sib.report.Load.Contention)
 		}
 	}
 	g.contentionFactors = found
--- a/core/gate/evacuated_test.go
+++ b/core/gate/evacuated_test.go
@@ -49,7 +49,7 @@
 	g := New("a", Config{Slots: 2, Queue: 8}, 0)
 	assert.Equal(t, len(startsOf(g.Arrive(0, request(1)))), 1)
 	g.SetEvacuated(ms, true)
-	events := g.Reconsider(2*ms, 1)
+	events := g.ReconsiderAfterBody(2*ms, 1)
 	assert.DeepEqual(t, kinds(events), []EventKind{Refused})
 	assert.Equal(t, events[0].Reason, Evacuated)
 	assert.Equal(t, g.InFlight(), 0)
--- a/core/gate/fence.go
+++ b/core/gate/fence.go
@@ -47,8 +47,8 @@
 	finished      map[AttemptID]time.Duration
 	finishedOrder []AttemptID
 	// forgottenUpTo is the latest arrival among the finished attempts evicted to limit
-	// memory, or the time set by ForgetBefore. For attempts sent no later than that, the
-	// gate cannot tell whether they ran.
+	// memory, or the time set by StartHistoryAt. For attempts sent no later than that,
+	// the gate cannot tell whether they ran.
 	forgottenUpTo time.Duration
 	anyForgotten  bool
 }
--- a/core/gate/gate.go
+++ b/core/gate/gate.go
@@ -89,14 +89,14 @@
 func (g *Gate) Configure(now time.Duration, config Config) []Event {
 	g.beginEvents(now)
 	g.config = config
-	g.speed.disabled = config.Off
+	g.speed.disabled = config.Disabled
 	g.siblings.budget.Set(config.ReportsPerSecond, config.BytesPerSecond)
 	g.startWaiting(now)
 	return g.takeEvents()
 }
 
 // disabled reports whether a mechanism is switched off.
-func (g *Gate) disabled(m mechanism.Set) bool { return g.config.Off.Has(m) }
+func (g *Gate) disabled(m mechanism.Set) bool { return g.config.Disabled.Has(m) }
 
 // beginEvents starts a batch of events and advances the clocks.
 func (g *Gate) beginEvents(now time.Duration) {
@@ -238,7 +238,7 @@
 		Running: g.running, Waiting: g.queue.size, Slots: g.slots(now),
 		Service: g.meanServiceTime(now), Draining: g.closedReason() != 0,
 		Full:      g.queue.size >= g.config.Queue*queueFullPercent/100 && g.freeSlots(now) <= 0,
-		FailRatio: g.outlier.ratio, Failing: g.failing(now), Crowd: g.speed.contention.localFactor(),
+		FailRatio: g.outlier.ratio, Failing: g.failing(now), Contention: g.speed.contention.localFactor(),
 	}
 	if g.startsLimited(now) {
 		l.ColdStarts, l.StartsLeft = g.config.ColdStarts, g.coldStartsLeft(now)
--- a/core/gate/gate_test.go
+++ b/core/gate/gate_test.go
@@ -154,7 +154,7 @@
 		t.Run(c.desc, func(t *testing.T) {
 			g := slowGate(t)
 			now := 2 * time.Second
-			g.Learn(now, Report{Host: "b", Incarnation: 1, Sequence: 1, Load: c.load})
+			g.ApplyReport(now, Report{Host: "b", Incarnation: 1, Sequence: 1, Load: c.load})
 			got := kinds(g.Arrive(now, request(1)))
 			want := Started
 			if c.moved {
@@ -170,10 +170,10 @@
 func TestOlderReportChangesNothing(t *testing.T) {
 	g := slowGate(t)
 	now := 2 * time.Second
-	g.Learn(now, Report{Host: "b", Incarnation: 1, Sequence: 9, Load: Load{Slots: 4, Service: 50 * ms}})
-	g.Learn(now, Report{Host: "b", Incarnation: 1, Sequence: 3, Load: Load{Slots: 4, Service: ms}})
+	g.ApplyReport(now, Report{Host: "b", Incarnation: 1, Sequence: 9, Load: Load{Slots: 4, Service: 50 * ms}})
+	g.ApplyReport(now, Report{Host: "b", Incarnation: 1, Sequence: 3, Load: Load{Slots: 4, Service: ms}})
 	assert.DeepEqual(t, kinds(g.Arrive(now, request(1))), []EventKind{Started})
-	g.Learn(now, Report{Host: "b", Incarnation: 2, Sequence: 1, Load: Load{Slots: 4, Service: ms}})
+	g.ApplyReport(now, Report{Host: "b", Incarnation: 2, Sequence: 1, Load: Load{Slots: 4, Service: ms}})
 	assert.DeepEqual(t, kinds(g.Arrive(now, request(2))), []EventKind{Moved})
 }
 
@@ -181,7 +181,7 @@
 func TestRequestThatMovedStays(t *testing.T) {
 	g := slowGate(t)
 	now := 2 * time.Second
-	g.Learn(now, Report{Host: "b", Incarnation: 1, Sequence: 1, Load: Load{Slots: 4, Service: ms}})
+	g.ApplyReport(now, Report{Host: "b", Incarnation: 1, Sequence: 1, Load: Load{Slots: 4, Service: ms}})
 	r := request(1)
 	r.Movable = false
 	assert.DeepEqual(t, kinds(g.Arrive(now, r)), []EventKind{Started})
@@ -193,7 +193,7 @@
 func TestRequestsMoveAwayFromFailFastServer(t *testing.T) {
 	g := New("a", Config{Slots: 4, Queue: 40, Siblings: true, ReportsPerSecond: 1000, BytesPerSecond: 1 << 20}, 0)
 	g.SetSiblings([]Sibling{{Host: "b"}})
-	g.Learn(0, Report{Host: "b", Incarnation: 1, Sequence: 1, Load: Load{Slots: 4, Service: 20 * ms}})
+	g.ApplyReport(0, Report{Host: "b", Incarnation: 1, Sequence: 1, Load: Load{Slots: 4, Service: 20 * ms}})
 	moved := 0
 	for h := Handle(1); h <= 100; h++ {
 		now := time.Duration(h) * ms
@@ -275,7 +275,7 @@
 				take(events)
 			case 5:
 				host := rapid.SampledFrom([]string{"b", "c"}).Draw(t, "host")
-				g.Learn(now, Report{Host: host, Incarnation: 1, Sequence: uint64(now + 1), Load: Load{Slots: 2, Service: time.Duration(rapid.IntRange(1, 40).Draw(t, "service")) * ms}})
+				g.ApplyReport(now, Report{Host: host, Incarnation: 1, Sequence: uint64(now + 1), Load: Load{Slots: 2, Service: time.Duration(rapid.IntRange(1, 40).Draw(t, "service")) * ms}})
 			case 6:
 				take(g.Tick(now))
 			case 7:
@@ -326,7 +326,7 @@
 func TestRestartForgetsFailuresAndKeepsFinishedAttempts(t *testing.T) {
 	g := New("a", Config{Slots: 2, Queue: 2, Siblings: true}, 0)
 	g.SetSiblings([]Sibling{{Host: "b"}})
-	g.Learn(0, Report{Host: "b", Incarnation: 1, Sequence: 1, Load: Load{Slots: 2}})
+	g.ApplyReport(0, Report{Host: "b", Incarnation: 1, Sequence: 1, Load: Load{Slots: 2}})
 	for i := range 10 {
 		at := time.Duration(i) * time.Millisecond
 		g.Arrive(at, Request{Handle: Handle(i + 1), ID: AttemptID{Attempt: uint32(i + 1)}, Deadline: time.Minute})
--- a/core/gate/moves.go
+++ b/core/gate/moves.go
@@ -35,7 +35,7 @@
 	if it == nil || it.From == "" || sib.DataCenter == "" || sib.DataCenter == it.From {
 		return 0
 	}
-	if it.Bulky {
+	if it.LargeBody {
 		return crossDataCenterUploadCost
 	}
 	return crossDataCenterCost
--- a/core/gate/rank_test.go
+++ b/core/gate/rank_test.go
@@ -69,7 +69,7 @@
 	assert.Assert(t, g.contentionFactor() > contentionThreshold, "contention factor %.2f", g.contentionFactor())
 	running := 0
 	for range 6 {
-		g.Observe(now, 1)
+		g.ObserveSlowdown(now, 1)
 		h++
 		running += len(startedHandles(g.Arrive(now, classRequest(h, "work", 400*ms, now))))
 	}
@@ -91,7 +91,7 @@
 			running = append(running, run{h, now + took})
 		}
 	}
-	g.Observe(now, 1)
+	g.ObserveSlowdown(now, 1)
 	for range number {
 		*h++
 		start(startedHandles(g.Arrive(now, classRequest(*h, "work", 4*time.Second, now))))
@@ -100,7 +100,7 @@
 		next := running[0]
 		running = running[1:]
 		for now = max(now, next.end-100*ms); now < next.end; now += 50 * ms {
-			g.Observe(now, 1)
+			g.ObserveSlowdown(now, 1)
 		}
 		now = next.end
 		start(startedHandles(g.Finish(now, next.h, Completed)))
--- a/core/gate/report.go
+++ b/core/gate/report.go
@@ -38,9 +38,10 @@
 	// cold, 0 if it is warm or has no limit; StartsLeft is how many of them may start
 	// now.
 	ColdStarts, StartsLeft int
-	// Crowd is the contention factor: how many times longer requests were measured to
-	// take when nearly all slots are in use; 0 if it is not known.
-	Crowd float64
+	// Contention is the contention factor: how many times longer requests were measured
+	// to take when nearly all slots are in use; 0 if it is not known. The tag keeps the
+	// key that the metric gate_load writes.
+	Contention float64 `json:"Crowd"`
 }
 
 // estimateFinish estimates the total time of a request that arrives after extra others
--- a/core/gate/server.go
+++ b/core/gate/server.go
@@ -64,8 +64,8 @@
 	return g.takeEvents()
 }
 
-// ForgetBefore records that another gate served this backend server until now. For
+// StartHistoryAt records that another gate served this backend server until now. For
 // attempts sent to that gate, this one cannot tell whether they ran.
-func (g *Gate) ForgetBefore(now time.Duration) {
+func (g *Gate) StartHistoryAt(now time.Duration) {
 	g.history.forgottenUpTo, g.history.anyForgotten = max(g.history.forgottenUpTo, now), true
 }
--- a/core/gate/siblings.go
+++ b/core/gate/siblings.go
@@ -134,8 +134,8 @@
 
 func pairWeight(a, b string) uint64 { return xxhash.Sum64String(min(a, b) + "\x00" + max(a, b)) }
 
-// Learn applies a sibling's report, unless a newer one is known.
-func (g *Gate) Learn(now time.Duration, r Report) {
+// ApplyReport applies a sibling's report, unless a newer one is known.
+func (g *Gate) ApplyReport(now time.Duration, r Report) {
 	sib := g.siblings.byHost[r.Host]
 	if sib == nil || sib.known && !r.Newer(sib.report) {
 		return
--- a/core/gate/siblings_test.go
+++ b/core/gate/siblings_test.go
@@ -94,10 +94,10 @@
 	g := New("self", Config{Slots: 4, Queue: 10, Siblings: true, ReportsPerSecond: 10, BytesPerSecond: 1 << 20}, 0)
 	g.SetSiblings(makeSiblings(2, 0))
 	now := time.Second
-	assert.Equal(t, len(reports(g.Observe(now, 1))), 2, "first report")
+	assert.Equal(t, len(reports(g.ObserveSlowdown(now, 1))), 2, "first report")
 	now += urgentSpacing
-	assert.Equal(t, len(reports(g.Observe(now, 1))), 0, "unchanged load")
-	events := reports(g.Observe(now, 7))
+	assert.Equal(t, len(reports(g.ObserveSlowdown(now, 1))), 0, "unchanged load")
+	events := reports(g.ObserveSlowdown(now, 7))
 	assert.Equal(t, len(events), 2)
 	assert.Equal(t, events[0].Report.Load.Slowdown, 7.0)
 }
@@ -109,7 +109,7 @@
 	sent := 0
 	for i := range 50 {
 		now := time.Second + time.Duration(i)*urgentSpacing
-		sent += len(reports(g.Observe(now, float64(1+6*(i%2)))))
+		sent += len(reports(g.ObserveSlowdown(now, float64(1+6*(i%2)))))
 	}
 	assert.Equal(t, sent, 10)
 }
--- a/core/gate/slowdown.go
+++ b/core/gate/slowdown.go
@@ -169,8 +169,8 @@
 	return time.Duration(demand * s.persistentFactor())
 }
 
-// Observe applies the slowdown reported by the backend server.
-func (g *Gate) Observe(now time.Duration, factor float64) []Event {
+// ObserveSlowdown applies the slowdown reported by the backend server.
+func (g *Gate) ObserveSlowdown(now time.Duration, factor float64) []Event {
 	g.beginEvents(now)
 	if g.disabled(mechanism.Told) {
 		return g.takeEvents()
@@ -186,18 +186,18 @@
 // Speed holds the values from which the gate predicts how long requests take.
 type Speed struct {
 	// Slowdown is how many times longer than normal requests take; 1 if the server does
-	// not report it. Lasting is the persistent part of it.
-	Slowdown, Lasting float64
-	// Crowd is the contention factor: how many times longer requests take when nearly
-	// all slots are in use.
-	Crowd float64
-	// Usual is the mean service time of a request at normal speed.
-	Usual time.Duration
+	// not report it. Persistent is the persistent part of it.
+	Slowdown, Persistent float64
+	// Contention is the contention factor: how many times longer requests take when
+	// nearly all slots are in use.
+	Contention float64
+	// MeanServiceTime is the mean service time of a request at normal speed.
+	MeanServiceTime time.Duration
 }
 
 // Speed returns the values on which predictions are based.
 func (g *Gate) Speed(now time.Duration) Speed {
-	s := Speed{Slowdown: 1, Lasting: g.speed.persistentFactor(), Crowd: g.contentionFactor(), Usual: time.Duration(g.speed.meanDemand())}
+	s := Speed{Slowdown: 1, Persistent: g.speed.persistentFactor(), Contention: g.contentionFactor(), MeanServiceTime: time.Duration(g.speed.meanDemand())}
 	if g.slowdownKnown(now) {
 		s.Slowdown = g.speed.factor
 	}
--- a/core/gate/slowdown_test.go
+++ b/core/gate/slowdown_test.go
@@ -21,10 +21,10 @@
 	g := New("a", Config{Slots: slots, Queue: 100, Siblings: true, ReportsPerSecond: 1000, BytesPerSecond: 1 << 20}, 0)
 	now := time.Duration(0)
 	for i := range 30 {
-		g.Observe(now, 1)
+		g.ObserveSlowdown(now, 1)
 		g.Arrive(now, classRequest(Handle(1000+i), "work", 400*ms, now))
 		now += 100 * ms
-		g.Observe(now, 1)
+		g.ObserveSlowdown(now, 1)
 		g.Finish(now, Handle(1000+i), Completed)
 	}
 	return g, now
@@ -32,7 +32,7 @@
 
 func setSibling(g *Gate, now time.Duration, host string, load Load) {
 	g.SetSiblings([]Sibling{{Host: host, Distance: ms}})
-	g.Learn(now, Report{Host: host, Incarnation: 1, Sequence: uint64(now) + 1, Load: load})
+	g.ApplyReport(now, Report{Host: host, Incarnation: 1, Sequence: uint64(now) + 1, Load: load})
 }
 
 // Guards against waiting for completions to show a slowdown: a neighbour takes the
@@ -42,7 +42,7 @@
 	g, now := gateWithReports(10)
 	setSibling(g, now, "b", Load{Slots: 10, Service: 100 * ms})
 	assert.DeepEqual(t, kinds(g.Arrive(now, classRequest(1, "work", 400*ms, now))), []EventKind{Started})
-	g.Observe(now, 7)
+	g.ObserveSlowdown(now, 7)
 	assert.DeepEqual(t, kinds(g.Arrive(now, classRequest(2, "work", 400*ms, now))), []EventKind{Moved})
 }
 
@@ -50,7 +50,7 @@
 func TestStaleSlowdownIsIgnored(t *testing.T) {
 	g, now := gateWithReports(10)
 	setSibling(g, now+slowdownTTL, "b", Load{Slots: 10, Service: 100 * ms})
-	g.Observe(now, 7)
+	g.ObserveSlowdown(now, 7)
 	later := now + slowdownTTL + ms
 	assert.DeepEqual(t, kinds(g.Arrive(later, classRequest(2, "work", 400*ms, later))), []EventKind{Started})
 }
@@ -58,9 +58,9 @@
 // The demand of a request is known however often the speed changed while it ran.
 func TestDemandIsMeasuredOnTheWorkClock(t *testing.T) {
 	g, now := gateWithReports(1)
-	g.Observe(now, 5)
+	g.ObserveSlowdown(now, 5)
 	g.Arrive(now, classRequest(1, "other", 0, now))
-	g.Observe(now+250*ms, 1)
+	g.ObserveSlowdown(now+250*ms, 1)
 	g.Finish(now+300*ms, 1, Completed)
 	got := time.Duration(g.speed.demandOf(Request{Class: "other"}))
 	assert.Equal(t, got.Round(ms), 100*ms)
@@ -78,7 +78,7 @@
 	var hints []Handle
 	for range 3 {
 		now += 10 * ms
-		for _, e := range g.Observe(now, 7) {
+		for _, e := range g.ObserveSlowdown(now, 7) {
 			if e.Kind == Hint {
 				hints = append(hints, e.Handle)
 				assert.Equal(t, e.To, "b")
@@ -96,7 +96,7 @@
 	r := classRequest(1, "work", 400*ms, now)
 	r.Repeatable = true
 	g.Arrive(now, r)
-	for _, e := range g.Observe(now+10*ms, 7) {
+	for _, e := range g.ObserveSlowdown(now+10*ms, 7) {
 		assert.Assert(t, e.Kind != Hint)
 	}
 }
@@ -105,7 +105,7 @@
 // dozens of requests wait that cannot meet their aim.
 func TestAimProvidesInitialDemandEstimate(t *testing.T) {
 	g := New("a", Config{Slots: 2, Queue: 100}, 0)
-	g.Observe(0, 1)
+	g.ObserveSlowdown(0, 1)
 	waiting := 0
 	for h := range Handle(40) {
 		events := g.Arrive(0, classRequest(h+1, "work", 300*ms, 0))
@@ -126,7 +126,7 @@
 	g, now := gateWithReports(10)
 	setSibling(g, now, "b", Load{Slots: 10, Service: 900 * ms})
 	for range 25 {
-		g.Observe(now, 12)
+		g.ObserveSlowdown(now, 12)
 		now += 100 * ms
 	}
 	setSibling(g, now, "b", Load{Slots: 10, Service: 600 * ms})
@@ -142,7 +142,7 @@
 func TestPersistentlySlowServerRefusesRequestsPastDeadline(t *testing.T) {
 	g, now := gateWithReports(2)
 	for range 25 {
-		g.Observe(now, 12)
+		g.ObserveSlowdown(now, 12)
 		now += 100 * ms
 	}
 	for h := Handle(1); h <= 2; h++ {
@@ -164,9 +164,9 @@
 		if i/5%3 != 0 {
 			factor = 7
 		}
-		g.Observe(now, factor)
+		g.ObserveSlowdown(now, factor)
 		now += 100 * ms
-		assert.Equal(t, g.Speed(now).Lasting, 1.0)
+		assert.Equal(t, g.Speed(now).Persistent, 1.0)
 	}
 }
 
@@ -174,12 +174,12 @@
 func TestPersistentSlowdownEndsWithFirstLowerReport(t *testing.T) {
 	g, now := gateWithReports(10)
 	for range 25 {
-		g.Observe(now, 12)
+		g.ObserveSlowdown(now, 12)
 		now += 100 * ms
 	}
-	assert.Equal(t, g.Speed(now).Lasting, 12.0)
-	g.Observe(now, 1)
-	assert.Equal(t, g.Speed(now).Lasting, 1.0)
+	assert.Equal(t, g.Speed(now).Persistent, 12.0)
+	g.ObserveSlowdown(now, 1)
+	assert.Equal(t, g.Speed(now).Persistent, 1.0)
 }
 
 // A slot is free, but the server is seven times slower at the moment and its sibling is
@@ -187,12 +187,12 @@
 // moves to the sibling that gets room, and is answered in time.
 func TestRequestWaitsRatherThanStartOnASlowServer(t *testing.T) {
 	g, now := gateWithReports(10)
-	g.Observe(now, 7)
+	g.ObserveSlowdown(now, 7)
 	busy := Load{Slots: 10, Running: 10, Waiting: 40, Service: 100 * ms}
 	setSibling(g, now, "b", busy)
 	assert.Equal(t, len(kinds(g.Arrive(now, classRequest(1, "work", 300*ms, now)))), 0, "it waits")
 	now += 20 * ms
-	g.Learn(now, Report{Host: "b", Incarnation: 2, Sequence: 1, Load: Load{Slots: 10, Running: 9, Service: 100 * ms}})
+	g.ApplyReport(now, Report{Host: "b", Incarnation: 2, Sequence: 1, Load: Load{Slots: 10, Running: 9, Service: 100 * ms}})
 	assert.DeepEqual(t, kinds(g.Tick(now)), []EventKind{Moved})
 }
 
@@ -200,7 +200,7 @@
 // the server's when the slow period ends.
 func TestRequestStartsOnASlowServerIfAllAreSlow(t *testing.T) {
 	g, now := variableSpeedGate(10)
-	g.Observe(now, 7)
+	g.ObserveSlowdown(now, 7)
 	setSibling(g, now, "b", Load{Slots: 10, Running: 10, Waiting: 12, Service: 390 * ms})
 	assert.DeepEqual(t, kinds(g.Arrive(now, classRequest(1, "work", 300*ms, now))), []EventKind{Started})
 }
@@ -209,11 +209,11 @@
 // report that shows it.
 func TestHeldRequestStartsWhenSlowPeriodEnds(t *testing.T) {
 	g, now := gateWithReports(10)
-	g.Observe(now, 7)
+	g.ObserveSlowdown(now, 7)
 	setSibling(g, now, "b", Load{Slots: 10, Running: 10, Waiting: 40, Service: 100 * ms})
 	g.Arrive(now, classRequest(1, "work", 300*ms, now))
 	now += 50 * ms
-	assert.DeepEqual(t, startedHandles(append(g.Observe(now, 1), g.Tick(now)...)), []Handle{1})
+	assert.DeepEqual(t, startedHandles(append(g.ObserveSlowdown(now, 1), g.Tick(now)...)), []Handle{1})
 }
 
 // A gate that has just started has no contention samples. Its siblings found that the
@@ -221,12 +221,12 @@
 // do.
 func TestContentionIsLearnedFromSiblings(t *testing.T) {
 	g := New("a", Config{Slots: 6, Queue: 100, Siblings: true, ReportsPerSecond: 1000, BytesPerSecond: 1 << 20}, 0)
-	g.Observe(0, 1)
+	g.ObserveSlowdown(0, 1)
 	g.SetSiblings([]Sibling{{Host: "b", Distance: ms}, {Host: "c", Distance: ms}, {Host: "d", Distance: ms}})
 	for host, found := range map[string]float64{"b": 1.1, "c": 1.6, "d": 1.7} {
-		g.Learn(0, Report{Host: host, Incarnation: 1, Sequence: 1, Load: Load{Slots: 4, Service: 100 * ms, Crowd: found}})
+		g.ApplyReport(0, Report{Host: host, Incarnation: 1, Sequence: 1, Load: Load{Slots: 4, Service: 100 * ms, Contention: found}})
 	}
-	assert.Equal(t, g.Speed(0).Crowd, 1.6)
+	assert.Equal(t, g.Speed(0).Contention, 1.6)
 	assert.Equal(t, g.usefulSlots(), 4)
 }
 
@@ -262,11 +262,11 @@
 	}{{"announced", 3 * time.Second, 2}, {"not announced", 0, 1}} {
 		g := New("a", Config{Slots: 4, Queue: 4}, 0)
 		g.SetCold(0, c.left)
-		g.Observe(10*time.Millisecond, 8)
-		g.Observe(310*time.Millisecond, 2)
-		assert.Equal(t, g.Speed(320*time.Millisecond).Lasting, c.want, c.desc)
-		g.Observe(3*time.Second, 1)
-		assert.Equal(t, g.Speed(3*time.Second).Lasting, 1.0, c.desc)
+		g.ObserveSlowdown(10*time.Millisecond, 8)
+		g.ObserveSlowdown(310*time.Millisecond, 2)
+		assert.Equal(t, g.Speed(320*time.Millisecond).Persistent, c.want, c.desc)
+		g.ObserveSlowdown(3*time.Second, 1)
+		assert.Equal(t, g.Speed(3*time.Second).Persistent, 1.0, c.desc)
 	}
 }
 
@@ -275,12 +275,12 @@
 func TestColdServerDoesNotFillLastSlotsToMeasureContention(t *testing.T) {
 	g := New("a", Config{Slots: 10, Queue: 4}, 0)
 	g.SetCold(0, 3*time.Second)
-	g.Observe(0, 2)
+	g.ObserveSlowdown(0, 2)
 	for range minContentionSamples {
 		g.speed.contention.add(1, lowOccupancy)
 	}
 	assert.Equal(t, g.usefulSlots(), 8)
-	g.Observe(3*time.Second, 1)
+	g.ObserveSlowdown(3*time.Second, 1)
 	assert.Equal(t, g.usefulSlots(), 10)
 }
 
@@ -289,12 +289,12 @@
 func TestDisabledMechanismHasNoEffect(t *testing.T) {
 	g, now := gateWithReports(10)
 	setSibling(g, now, "b", Load{Slots: 10, Service: 100 * ms})
-	g.Observe(now, 7)
+	g.ObserveSlowdown(now, 7)
 	config := g.config
-	config.Off = mechanism.Moves | mechanism.Holds
+	config.Disabled = mechanism.Moves | mechanism.Holds
 	g.Configure(now, config)
 	assert.DeepEqual(t, kinds(g.Arrive(now, classRequest(1, "work", 400*ms, now))), []EventKind{Started})
-	config.Off = 0
+	config.Disabled = 0
 	g.Configure(now, config)
 	assert.DeepEqual(t, kinds(g.Arrive(now, classRequest(2, "work", 400*ms, now))), []EventKind{Moved})
 }
--- a/core/gate/speedmodel_test.go
+++ b/core/gate/speedmodel_test.go
@@ -17,12 +17,12 @@
 // serveRequest runs one request to completion, with the given slowdowns reported for
 // its first 25 ms and for the rest.
 func serveRequest(g *Gate, now time.Duration, h Handle, first, rest float64, took time.Duration) time.Duration {
-	g.Observe(now, first)
+	g.ObserveSlowdown(now, first)
 	r := classRequest(h, "work", 4*time.Second, now)
 	r.Movable = false
 	g.Arrive(now, r)
-	g.Observe(now+ms, first)
-	g.Observe(now+25*ms, rest)
+	g.ObserveSlowdown(now+ms, first)
+	g.ObserveSlowdown(now+25*ms, rest)
 	g.Finish(now+took, h, Completed)
 	return now + took
 }
@@ -36,7 +36,7 @@
 		// seven times slower.
 		now = serveRequest(g, now, Handle(2000+i), 1, 7, 550*ms)
 	}
-	g.Observe(now, 1)
+	g.ObserveSlowdown(now, 1)
 	return g, now
 }
 
@@ -70,16 +70,16 @@
 // 700 ms of its slot; it waits for the end of the slow period and takes 100.
 func TestNothingStartsInAShortSlowPeriod(t *testing.T) {
 	g, now := gateWithReports(10)
-	g.Observe(now, 7)
+	g.ObserveSlowdown(now, 7)
 	assert.Equal(t, len(kinds(g.Arrive(now, classRequest(1, "work", 400*ms, now)))), 0, "it waits")
 	now += 200 * ms
-	assert.DeepEqual(t, startedHandles(g.Observe(now, 1)), []Handle{1})
+	assert.DeepEqual(t, startedHandles(g.ObserveSlowdown(now, 1)), []Handle{1})
 }
 
 // A call of 10 ms ends sooner at a seventh of the speed than after the slow period.
 func TestShortRequestStartsInASlowPeriod(t *testing.T) {
 	g, now := gateWithReports(10)
-	g.Observe(now, 7)
+	g.ObserveSlowdown(now, 7)
 	assert.DeepEqual(t, kinds(g.Arrive(now, classRequest(1, "call", 30*ms, now))), []EventKind{Started})
 }
 
@@ -89,12 +89,12 @@
 	g, now := gateWithReports(10)
 	for i := range 5 {
 		// The slow periods so far lasted two seconds.
-		g.Observe(now, 7)
+		g.ObserveSlowdown(now, 7)
 		now += 2 * time.Second
-		g.Observe(now, 1)
+		g.ObserveSlowdown(now, 1)
 		now += time.Duration(i+1) * 100 * ms
 	}
-	g.Observe(now, 7)
+	g.ObserveSlowdown(now, 7)
 	r := classRequest(1, "work", 800*ms, now)
 	r.Deadline = now + 900*ms
 	assert.DeepEqual(t, kinds(g.Arrive(now, r)), []EventKind{Started})
@@ -106,7 +106,7 @@
 // out, and its parent request failed.
 func TestShortCallMovesToASiblingOfLongRequests(t *testing.T) {
 	g, now := gateWithReports(10)
-	g.Observe(now, 7)
+	g.ObserveSlowdown(now, 7)
 	setSibling(g, now, "b", Load{Slots: 10, Running: 2, Service: 900 * ms, Slowdown: 1})
 	assert.DeepEqual(t, kinds(g.Arrive(now, classRequest(1, "work", 400*ms, now))), []EventKind{Moved})
 }
@@ -119,8 +119,8 @@
 	r := classRequest(1, "work", 400*ms, now)
 	r.Repeatable = true
 	g.Arrive(now, r)
-	g.Observe(now+ms, 1)
-	assert.Equal(t, len(hintedHandles(g.Observe(now+50*ms, 7))), 0)
+	g.ObserveSlowdown(now+ms, 1)
+	assert.Equal(t, len(hintedHandles(g.ObserveSlowdown(now+50*ms, 7))), 0)
 }
 
 // The server turned slow just before a request started, and the gate did not know yet.
@@ -132,8 +132,8 @@
 	r := classRequest(1, "work", 400*ms, now)
 	r.Repeatable = true
 	g.Arrive(now, r)
-	assert.Equal(t, len(hintedHandles(g.Observe(now+30*ms, 7))), 0, "it may have started before the server turned slow")
-	assert.DeepEqual(t, hintedHandles(g.Observe(now+160*ms, 7)), []Handle{1})
+	assert.Equal(t, len(hintedHandles(g.ObserveSlowdown(now+30*ms, 7))), 0, "it may have started before the server turned slow")
+	assert.DeepEqual(t, hintedHandles(g.ObserveSlowdown(now+160*ms, 7)), []Handle{1})
 }
 
 // It is unknown why a request takes so long: a call of its own may be stuck, or its
@@ -146,7 +146,7 @@
 	for range 4 {
 		now += 60 * ms
 		setSibling(g, now, "b", Load{Slots: 10, Service: 100 * ms, Slowdown: 1})
-		events := hintedHandles(g.Observe(now, 1))
+		events := hintedHandles(g.ObserveSlowdown(now, 1))
 		if len(events) > 0 {
 			assert.Assert(t, now-g.items[1].started > 200*ms)
 			return
@@ -160,8 +160,8 @@
 	g, now := gateWithReports(10)
 	meanDemand := g.speed.meanDemand()
 	g.Arrive(now, classRequest(1, "work", 400*ms, now))
-	g.Observe(now+10*ms, 7)
-	g.Observe(now+700*ms, 7)
+	g.ObserveSlowdown(now+10*ms, 7)
+	g.ObserveSlowdown(now+700*ms, 7)
 	g.Finish(now+700*ms, 1, Completed)
 	assert.Equal(t, g.speed.meanDemand(), meanDemand)
 }
@@ -173,7 +173,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 6).Draw(t, "slots")
 		g := New("a", Config{Slots: slots, Queue: 100}, 0)
-		g.Observe(0, 1)
+		g.ObserveSlowdown(0, 1)
 		sum, first := time.Duration(0), time.Hour
 		now := time.Second
 		running := rapid.IntRange(0, slots).Draw(t, "running")
@@ -184,7 +184,7 @@
 			g.running++
 			sum, first = sum+g.remaining(now, it), min(first, g.remaining(now, it))
 		}
-		g.Observe(now, 1)
+		g.ObserveSlowdown(now, 1)
 		ahead := rapid.IntRange(0, 20).Draw(t, "ahead")
 		work := float64(ahead) * float64(100*ms)
 		got := g.estimateFixedSpeedSlotWait(now, ahead, work)
@@ -216,12 +216,12 @@
 	meanDemand := g.speed.meanDemand()
 	assert.DeepEqual(t, startedHandles(g.Arrive(now, classRequest(1, "work", 400*ms, now))), []Handle{1})
 	now += 150 * ms
-	g.Observe(now, 7)
-	assert.Equal(t, len(kinds(g.Reconsider(now, 1))), 0, "it waits")
+	g.ObserveSlowdown(now, 7)
+	assert.Equal(t, len(kinds(g.ReconsiderAfterBody(now, 1))), 0, "it waits")
 	assert.Equal(t, g.running, 0)
 	now += 100 * ms
-	assert.DeepEqual(t, startedHandles(g.Observe(now, 1)), []Handle{1})
-	g.Observe(now+100*ms, 1)
+	assert.DeepEqual(t, startedHandles(g.ObserveSlowdown(now, 1)), []Handle{1})
+	g.ObserveSlowdown(now+100*ms, 1)
 	g.Finish(now+100*ms, 1, Completed)
 	assert.Assert(t, g.speed.meanDemand() < 1.02*meanDemand)
 }
@@ -231,9 +231,9 @@
 func TestUploadRunsOnceItsBodyArrived(t *testing.T) {
 	g, now := gateWithReports(10)
 	g.Arrive(now, classRequest(1, "work", 400*ms, now))
-	assert.DeepEqual(t, startedHandles(g.Reconsider(now+150*ms, 1)), []Handle{1})
+	assert.DeepEqual(t, startedHandles(g.ReconsiderAfterBody(now+150*ms, 1)), []Handle{1})
 	g.Arrive(now, classRequest(2, "work", 400*ms, now))
-	g.Observe(now+150*ms, 7)
+	g.ObserveSlowdown(now+150*ms, 7)
 	g.SetDraining(now+150*ms, true)
-	assert.DeepEqual(t, startedHandles(g.Reconsider(now+150*ms, 2)), []Handle{2})
+	assert.DeepEqual(t, startedHandles(g.ReconsiderAfterBody(now+150*ms, 2)), []Handle{2})
 }
--- a/core/gate/start.go
+++ b/core/gate/start.go
@@ -36,11 +36,12 @@
 	return g.startsAvailable(now, it.Request) > 0 && ahead == 0
 }
 
-// Reconsider decides again about a request that was started but not yet sent to the
-// server, because its body had to arrive first. The request starts, or waits for the
-// end of a slow period that began meanwhile: the server's speed when the work begins is
-// what counts. It does not move, since the body would have to be sent a second time.
-func (g *Gate) Reconsider(now time.Duration, h Handle) []Event {
+// ReconsiderAfterBody decides again about a request that was started but not yet sent
+// to the server, because its body had to arrive first. The request starts, or waits for
+// the end of a slow period that began meanwhile: the server's speed when the work
+// begins is what counts. It does not move, since the body would have to be sent a
+// second time.
+func (g *Gate) ReconsiderAfterBody(now time.Duration, h Handle) []Event {
 	g.beginEvents(now)
 	it := g.items[h]
 	if it == nil || it.state != stateRunning {
--- a/core/gate/types.go
+++ b/core/gate/types.go
@@ -68,8 +68,8 @@
 	Handle     Handle
 	Reason     Reason
 	RetryAfter time.Duration
-	// Everywhere: the siblings are as full, so that another attempt is pointless.
-	Everywhere bool
+	// SiblingsFull: the siblings are as full, so that another attempt is pointless.
+	SiblingsFull bool
 	// To is the sibling's host.
 	To string
 	// Report is the load report to send.
@@ -85,10 +85,10 @@
 	// Movable is false for a request that has moved as often as allowed: without a
 	// limit, two slow gates could move a request back and forth.
 	Movable bool
-	// From is the data centre where the request originated; Bulky is set if it has a
-	// large body.
-	From  string
-	Bulky bool
+	// From is the data centre where the request originated; LargeBody is set if it has
+	// a large body.
+	From      string
+	LargeBody bool
 	// Repeatable: the request may run twice, so that a hint is useful.
 	Repeatable bool
 	// Class groups requests with similar demand, such as those of one route.
@@ -115,8 +115,8 @@
 	// ReportsPerSecond and BytesPerSecond are this gate's share of the measuring
 	// budget.
 	ReportsPerSecond, BytesPerSecond int
-	// Off is the set of mechanisms that are switched off.
-	Off mechanism.Set
+	// Disabled is the set of mechanisms that are switched off.
+	Disabled mechanism.Set
 }
 
 // Outcome is how a running request ended.
--- a/internal/emulator/call.go
+++ b/internal/emulator/call.go
@@ -144,7 +144,7 @@
 	case gate.QueueFull, gate.TooLate:
 		c.pool().SetCrowded(c.sim.now(), a.to)
 	}
-	if e.Everywhere && ended == retry.NotRun {
+	if e.SiblingsFull && ended == retry.NotRun {
 		ended = retry.NotRunAnywhere
 	}
 	a.onEnded(ended)
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -49,7 +49,7 @@
 
 func (n *node) config() gate.Config {
 	share := measure.GateShare(uint32(n.service.ReportsPerSecond), n.service.Endpoints)
-	return gate.Config{Slots: n.service.Slots, Queue: n.service.Queue, Siblings: n.sim.variant.Siblings, ReportsPerSecond: share, BytesPerSecond: share * gate.ReportBytes, ColdStarts: int(n.service.ColdStart.PerSecond), Off: n.sim.variant.Off}
+	return gate.Config{Slots: n.service.Slots, Queue: n.service.Queue, Siblings: n.sim.variant.Siblings, ReportsPerSecond: share, BytesPerSecond: share * gate.ReportBytes, ColdStarts: int(n.service.ColdStart.PerSecond), Disabled: n.sim.variant.Off}
 }
 
 // loadPollInterval is how often a node polls its backend server for its slowdown when no
@@ -68,7 +68,7 @@
 
 func (n *node) observeLoad() {
 	n.observedAt = n.sim.now()
-	n.handleEvents(n.gate.Observe(n.sim.now(), n.server.slowdown()))
+	n.handleEvents(n.gate.ObserveSlowdown(n.sim.now(), n.server.slowdown()))
 }
 
 // drawNoise draws the noise of the next interval, and schedules the draw after it.
@@ -99,7 +99,7 @@
 	n.requests[a.handle] = a
 	now := n.sim.now()
 	r := gate.Request{Handle: a.handle, ID: a.id, Caller: c.origin.host, Deadline: c.deadline, Movable: c.retryState.Movable() && len(c.tried) == 0,
-		From: centerName(c.origin.center), Bulky: c.class.Bulky, Repeatable: c.class.Idempotent, Class: c.class.Name, Priority: c.class.Priority}
+		From: centerName(c.origin.center), LargeBody: c.class.Bulky, Repeatable: c.class.Idempotent, Class: c.class.Name, Priority: c.class.Priority}
 	if c.class.Aim > 0 {
 		r.Aim = c.class.Aim.Duration()
 		r.AimAt = max(1, c.deadline-c.class.Timeout.Duration()+r.Aim)
@@ -151,7 +151,7 @@
 	report := e.Report
 	report.Incarnation = 1
 	to := n.sim.byHost[e.To]
-	n.sim.deliver(n, to, func() { to.gate.Learn(n.sim.now(), report) })
+	n.sim.deliver(n, to, func() { to.gate.ApplyReport(n.sim.now(), report) })
 }
 
 // execute starts an attempt at the backend server.
--- a/internal/endpoint/backend.go
+++ b/internal/endpoint/backend.go
@@ -83,7 +83,7 @@
 // started requests.
 func (e *Endpoint) AssumeStarts() {
 	e.runGate(func(now time.Duration) []gate.Event {
-		e.gate.AssumeStarts(now)
+		e.gate.AssumeEarlierStarts(now)
 		return nil
 	})
 }
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -190,7 +190,7 @@
 func (e *Endpoint) SetSuccessor() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.gate.ForgetBefore(e.now())
+	e.gate.StartHistoryAt(e.now())
 }
 
 // Configure applies the service's configuration.
@@ -209,7 +209,7 @@
 // Learn applies a sibling's report.
 func (e *Endpoint) Learn(report gate.Report) {
 	e.runGate(func(now time.Duration) []gate.Event {
-		e.gate.Learn(now, report)
+		e.gate.ApplyReport(now, report)
 		return nil
 	})
 }
@@ -268,7 +268,7 @@
 		reply.Verdict, reply.To = hop.Moved, event.To
 	default:
 		reply.Verdict, reply.Reason = hop.Refused, event.Reason
-		reply.RetryAfter, reply.Everywhere = event.RetryAfter, event.Everywhere
+		reply.RetryAfter, reply.Everywhere = event.RetryAfter, event.SiblingsFull
 	}
 	return nil, reply
 }
@@ -295,7 +295,7 @@
 	logs.Decision(failure, "Gate decided", "request", out.ID, "attempt", hop.FormatID(req.ID), "host", e.options.Host,
 		"content", req.Content.Exact, "alike", req.Content.Alike, "outcome", outcome, "reason", event.Reason.String(),
 		"to", event.To, "waited", waited, "left", time.Until(out.Deadline), "running", load.Running, "waiting", load.Waiting, "slots", load.Slots,
-		"service", load.Service, "slowdown", speed.Slowdown, "lasting", speed.Lasting, "crowd", speed.Crowd, "usual", speed.Usual, "loadAge", e.now()-time.Duration(e.loadReportedAt.Load()), "retryAfter", event.RetryAfter, "everywhere", event.Everywhere, "revision", e.options.Revision())
+		"service", load.Service, "slowdown", speed.Slowdown, "lasting", speed.Persistent, "crowd", speed.Contention, "usual", speed.MeanServiceTime, "loadAge", e.now()-time.Duration(e.loadReportedAt.Load()), "retryAfter", event.RetryAfter, "everywhere", event.SiblingsFull, "revision", e.options.Revision())
 }
 
 func (e *Endpoint) removeHint(handle gate.Handle) {
@@ -345,13 +345,13 @@
 	ch := make(chan gate.Event, 1)
 	e.runGate(func(now time.Duration) []gate.Event {
 		e.waiters[handle] = ch
-		return e.gate.Reconsider(now, handle)
+		return e.gate.ReconsiderAfterBody(now, handle)
 	})
 	return e.awaitDecision(ctx, handle, ch)
 }
 
 func gateRequest(now time.Duration, handle gate.Handle, req hop.Request) gate.Request {
-	r := gate.Request{Handle: handle, ID: req.ID, Caller: req.Caller, Deadline: now + req.Timeout, Movable: req.Movable, From: req.From, Bulky: req.Bulky,
+	r := gate.Request{Handle: handle, ID: req.ID, Caller: req.Caller, Deadline: now + req.Timeout, Movable: req.Movable, From: req.From, LargeBody: req.Bulky,
 		Class: req.Class, Priority: req.Priority, Repeatable: req.Repeatable}
 	if req.Aim > 0 {
 		r.Aim, r.AimAt = req.Aim, max(1, now+req.AimLeft)
--- a/internal/endpoint/forward.go
+++ b/internal/endpoint/forward.go
@@ -34,7 +34,7 @@
 	if buffered != out {
 		out = buffered
 		if event := e.reconsider(ctx, handle); event.Kind != gate.Started {
-			reply.Verdict, reply.Reason, reply.RetryAfter, reply.Everywhere = hop.Refused, event.Reason, event.RetryAfter, event.Everywhere
+			reply.Verdict, reply.Reason, reply.RetryAfter, reply.Everywhere = hop.Refused, event.Reason, event.RetryAfter, event.SiblingsFull
 			return nil, reply
 		}
 	}
@@ -144,7 +144,7 @@
 		return
 	}
 	e.loadReportedAt.Store(int64(e.now()))
-	e.runGate(func(now time.Duration) []gate.Event { return e.gate.Observe(now, load.Slowdown) })
+	e.runGate(func(now time.Duration) []gate.Event { return e.gate.ObserveSlowdown(now, load.Slowdown) })
 }
 
 // backendRequest returns the request as it is sent to the backend server: with the time
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -78,7 +78,7 @@
 	data, err := proto.Marshal(&apiv1.GateReport{Host: report.Host, Incarnation: report.Incarnation, Sequence: report.Sequence,
 		Running: uint32(l.Running), Waiting: uint32(l.Waiting), Slots: uint32(l.Slots), ServiceUs: uint64(l.Service.Microseconds()),
 		Draining: l.Draining, Full: l.Full, FailPerMille: uint32(l.FailRatio * perMille), Failing: l.Failing,
-		CrowdPercent: uint32(l.Crowd * percent), SlowdownPercent: uint32(l.Slowdown * percent), WaitUs: uint64(l.Wait.Microseconds()),
+		CrowdPercent: uint32(l.Contention * percent), SlowdownPercent: uint32(l.Slowdown * percent), WaitUs: uint64(l.Wait.Microseconds()),
 		ColdStarts: uint32(l.ColdStarts), StartsLeft: uint32(l.StartsLeft)})
 	if err != nil {
 		return
@@ -116,6 +116,6 @@
 	return gate.Report{Host: m.Host, Incarnation: m.Incarnation, Sequence: m.Sequence, Load: gate.Load{
 		Running: int(m.Running), Waiting: int(m.Waiting), Slots: int(m.Slots), Service: time.Duration(m.ServiceUs) * time.Microsecond,
 		Draining: m.Draining, Full: m.Full, FailRatio: float64(m.FailPerMille) / perMille, Failing: m.Failing,
-		Crowd: float64(m.CrowdPercent) / percent, Slowdown: float64(m.SlowdownPercent) / percent, Wait: time.Duration(m.WaitUs) * time.Microsecond,
+		Contention: float64(m.CrowdPercent) / percent, Slowdown: float64(m.SlowdownPercent) / percent, Wait: time.Duration(m.WaitUs) * time.Microsecond,
 		ColdStarts: int(m.ColdStarts), StartsLeft: int(m.StartsLeft)}}
 }
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -98,7 +98,7 @@
 		Slots: int(slots), Queue: int(spec.Queue), SlowStart: time.Duration(spec.SlowStartMs) * time.Millisecond, ColdStarts: int(spec.ColdRequestsPerSecond), Siblings: true,
 		ReportsPerSecond: max(measure.GateShare(m.GetReportsPerSecond(), gates), int(m.GetReportsPerEndpoint())),
 		BytesPerSecond:   max(measure.GateShare(m.GetBytesPerSecond(), gates), int(m.GetBytesPerEndpoint())),
-		Off:              n.disabled,
+		Disabled:         n.disabled,
 	}
 }
 
--- a/internal/replay/node.go
+++ b/internal/replay/node.go
@@ -130,7 +130,7 @@
 
 func (n *node) handleRefusal(a *attempt, e gate.Event) {
 	ended := retry.NotRun
-	if e.Everywhere {
+	if e.SiblingsFull {
 		ended = retry.NotRunAnywhere
 	}
 	if e.Reason == gate.Draining {
@@ -149,7 +149,7 @@
 	report := n.falsifyReport(e.Report)
 	to := n.sim.node(e.To)
 	n.sim.result.report(n.sim.Now())
-	n.sim.After(n.sim.distance(), func() { to.gate.Learn(n.sim.Now(), report) })
+	n.sim.After(n.sim.distance(), func() { to.gate.ApplyReport(n.sim.Now(), report) })
 }
 
 func (n *node) execute(h gate.Handle, a *attempt) {
