--- a/core/gate/contention.go
+++ b/core/gate/contention.go
@@ -104,7 +104,7 @@
 // factors measured by all gates is used: a single gate measures 1.0 to 2.2 where the
 // true factor is 1.7, and a gate that has just started has no measurement.
 func (g *Gate) contentionFactor() float64 {
-	if g.disabled(mechanism.Crowd) {
+	if g.disabled(mechanism.Contention) {
 		return 1
 	}
 	return g.cachedContention
@@ -153,7 +153,7 @@
 // contention to the slowest phase.
 func (g *Gate) usefulSlots() int {
 	slots := g.config.Slots
-	if g.disabled(mechanism.Crowd) {
+	if g.disabled(mechanism.Contention) {
 		return slots
 	}
 	if g.speed.contention.lowOccupancy.seen >= minContentionSamples && g.contentionFactor() <= contentionThreshold && !(g.speed.isCold() && !g.speed.contention.known()) {
--- a/core/gate/moves.go
+++ b/core/gate/moves.go
@@ -105,7 +105,7 @@
 // fullEverywhere reports whether the known siblings are as busy as this gate, so that
 // an attempt at one of them would only add load.
 func (g *Gate) fullEverywhere(now time.Duration) bool {
-	if g.disabled(mechanism.Everywhere) {
+	if g.disabled(mechanism.SiblingsFull) {
 		return false
 	}
 	known := false
--- a/core/gate/slowdown.go
+++ b/core/gate/slowdown.go
@@ -82,7 +82,7 @@
 // seconds of reports, a fleet that had just started accepted requests that it could not
 // finish in time.
 func (s *speedTracker) persistentFactor() float64 {
-	if s.disabled.Has(mechanism.Lasting) {
+	if s.disabled.Has(mechanism.PersistentSlowdown) {
 		return 1
 	}
 	if s.isCold() {
@@ -172,7 +172,7 @@
 // ObserveSlowdown applies the slowdown reported by the backend server.
 func (g *Gate) ObserveSlowdown(now time.Duration, factor float64) []Event {
 	g.beginEvents(now)
-	if g.disabled(mechanism.Told) {
+	if g.disabled(mechanism.ReportedSlowdown) {
 		return g.takeEvents()
 	}
 	g.speed.update(now, factor)
--- a/core/gate/speedmodel.go
+++ b/core/gate/speedmodel.go
@@ -55,7 +55,7 @@
 // speedFixedAtStart reports whether the speed of requests is assumed to be fixed at
 // their start.
 func (s *speedTracker) speedFixedAtStart() bool {
-	return s.speedModel.fixedAtStart() && !s.disabled.Has(mechanism.Pace)
+	return s.speedModel.fixedAtStart() && !s.disabled.Has(mechanism.SpeedModel)
 }
 
 // speedAtStart is what is known of the server's speed when a request started.
--- a/core/mechanism/mechanism.go
+++ b/core/mechanism/mechanism.go
@@ -25,26 +25,26 @@
 	// Hints lets a gate name a sibling for a stuck request, so that its caller's node
 	// sends the request a second time.
 	Hints
-	// Crowd lets a gate leave the last slots unused if high concurrency slows the
+	// Contention lets a gate leave the last slots unused if high concurrency slows the
 	// server down.
-	Crowd
+	Contention
 	// Ranks orders waiting requests by priority and aim.
 	Ranks
 	// Aims moves waiting requests that miss their aim behind the others.
 	Aims
 	// KeptSlots reserves slots for short requests.
 	KeptSlots
-	// Everywhere tells callers' nodes that no sibling has capacity either.
-	Everywhere
+	// SiblingsFull tells callers' nodes that no sibling has capacity either.
+	SiblingsFull
 	// Outlier moves requests away from a server that fails while its siblings do not.
 	Outlier
-	// Lasting distinguishes a persistent slowdown from a momentary one.
-	Lasting
+	// PersistentSlowdown distinguishes a persistent slowdown from a momentary one.
+	PersistentSlowdown
 	// Cold trusts a server's announcement of how long it stays slow after its start.
 	Cold
-	// Told uses the speed that servers announce; without it the speed is estimated from
-	// completions.
-	Told
+	// ReportedSlowdown uses the speed that servers announce; without it the speed is
+	// estimated from completions.
+	ReportedSlowdown
 	// FairShares serves waiting callers in turn.
 	FairShares
 	// Near prefers endpoints in the caller's data centre.
@@ -53,17 +53,17 @@
 	Silence
 	// AskFirst holds larger bodies back until a gate requests them.
 	AskFirst
-	// Pace learns whether requests keep the speed of their start; without it their
-	// progress is assumed to follow the speed of their server.
-	Pace
+	// SpeedModel learns whether requests keep the speed of their start; without it
+	// their progress is assumed to follow the speed of their server.
+	SpeedModel
 	// Shedding refuses a share of requests while the process is short of processor
 	// time.
 	Shedding
 )
 
 var names = map[Set]string{
-	Moves: "moves", Holds: "holds", Hints: "hints", Crowd: "crowd", Ranks: "ranks", Aims: "aims", KeptSlots: "kept-slots", Everywhere: "everywhere",
-	Outlier: "outlier", Lasting: "lasting", Cold: "cold", Told: "told", FairShares: "fair-shares", Near: "near", Silence: "silence", AskFirst: "ask-first", Pace: "pace", Shedding: "shedding",
+	Moves: "moves", Holds: "holds", Hints: "hints", Contention: "crowd", Ranks: "ranks", Aims: "aims", KeptSlots: "kept-slots", SiblingsFull: "everywhere",
+	Outlier: "outlier", PersistentSlowdown: "lasting", Cold: "cold", ReportedSlowdown: "told", FairShares: "fair-shares", Near: "near", Silence: "silence", AskFirst: "ask-first", SpeedModel: "pace", Shedding: "shedding",
 }
 
 // Has reports whether the set contains a mechanism.
--- a/internal/emulator/heldout_test.go
+++ b/internal/emulator/heldout_test.go
@@ -61,8 +61,8 @@
 	s := readScenario(t, filepath.Join(folder, "vdm-busy.json"))
 	leastOutstanding, err := Find("least-outstanding")
 	assert.NilError(t, err)
-	leastOutstanding.Off = mechanism.Told
-	got, baseline := Run(s, Without(mechanism.Told), 1).InAim, Run(s, leastOutstanding, 1).InAim
+	leastOutstanding.Off = mechanism.ReportedSlowdown
+	got, baseline := Run(s, Without(mechanism.ReportedSlowdown), 1).InAim, Run(s, leastOutstanding, 1).InAim
 	assert.Assert(t, got > baseline-inTimeTolerance, "in time %.3f, least-outstanding %.3f", got, baseline)
 	t.Logf("in time %.3f, least-outstanding %.3f", got, baseline)
 }
