--- a/core/quarantine/evaluate.go
+++ b/core/quarantine/evaluate.go
@@ -41,21 +41,21 @@
 	}
 }
 
-// Barred describes a quarantined content.
-type Barred struct {
+// Quarantined describes a quarantined content.
+type Quarantined struct {
 	Key Key
-	// Ends is the number of crashes with which the content is recorded, and Left is the
-	// remaining quarantine time.
-	Ends int
-	Left time.Duration
+	// Crashes is the number of crashes with which the content is recorded, and Left is
+	// the remaining quarantine time.
+	Crashes int
+	Left    time.Duration
 }
 
-// AllBarred returns the contents that are quarantined at the given time.
-func (l *Ledger) AllBarred(now time.Duration) []Barred {
-	var list []Barred
+// AllQuarantined returns the contents that are quarantined at the given time.
+func (l *Ledger) AllQuarantined(now time.Duration) []Quarantined {
+	var list []Quarantined
 	for k, until := range l.quarantinedUntil {
 		if until > now {
-			list = append(list, Barred{Key: k, Ends: l.crashCounts[k], Left: until - now})
+			list = append(list, Quarantined{Key: k, Crashes: l.crashCounts[k], Left: until - now})
 		}
 	}
 	return list
--- a/core/quarantine/gossip.go
+++ b/core/quarantine/gossip.go
@@ -24,17 +24,17 @@
 	// crash. Most crashes are of this kind, have no consequence yet, and may come in
 	// large numbers.
 	reducedFanout = 2
-	// CompareEvery is the interval between comparisons while the ledger changes, or
+	// CompareInterval is the interval between comparisons while the ledger changes, or
 	// after the start of the node, when it may have missed news. With a third of all
 	// datagrams lost, one node in 500 is then two seconds behind.
-	CompareEvery = 250 * time.Millisecond
+	CompareInterval = 250 * time.Millisecond
 	// changePeriod is how long after a change the ledger counts as changing.
 	changePeriod = 5 * time.Second
-	// CalmEvery is the interval between comparisons otherwise, so that a node that was
-	// partitioned soon learns what it missed. emptyCompareEvery is the interval while
-	// the ledger is empty.
-	CalmEvery         = time.Second
-	emptyCompareEvery = 2 * time.Second
+	// IdleCompareInterval is the interval between comparisons otherwise, so that a node
+	// that was partitioned soon learns what it missed. emptyCompareInterval is the
+	// interval while the ledger is empty.
+	IdleCompareInterval  = time.Second
+	emptyCompareInterval = 2 * time.Second
 	// startupPeriod is how long after its start a node may have missed news.
 	startupPeriod = 10 * time.Second
 	// messagesPerSecond and bytesPerSecond limit what a node sends, well within the
@@ -54,9 +54,9 @@
 	hashBytes          = 8
 )
 
-// Marks holds the hashes of all crashes in the sender's ledger between First and Last,
-// both inclusive.
-type Marks struct {
+// HashRange holds the hashes of all crashes in the sender's ledger between First and
+// Last, both inclusive.
+type HashRange struct {
 	First, Last uint64
 	List        []uint64
 }
@@ -68,14 +68,14 @@
 	// hashes if its digest differs.
 	Digest  uint64
 	Compare bool
-	// Marks requests the crashes that the sender lacks, or is nil.
-	Marks *Marks
+	// Hashes requests the crashes that the sender lacks, or is nil.
+	Hashes *HashRange
 	// Asked lists the hashes of crashes that the sender requests.
 	Asked []uint64
 }
 
-// Parcel is a message addressed to a host.
-type Parcel struct {
+// Envelope is a message addressed to a host.
+type Envelope struct {
 	To string
 	Message
 }
@@ -96,21 +96,21 @@
 
 // NewGossip returns a Gossip with an empty ledger.
 func NewGossip(random *rand.Rand, now time.Duration) *Gossip {
-	return &Gossip{Ledger: NewLedger(), random: random, budget: measure.NewBudget(messagesPerSecond, bytesPerSecond), start: now, comparedAt: now - emptyCompareEvery, changedAt: now - changePeriod}
+	return &Gossip{Ledger: NewLedger(), random: random, budget: measure.NewBudget(messagesPerSecond, bytesPerSecond), start: now, comparedAt: now - emptyCompareInterval, changedAt: now - changePeriod}
 }
 
 // SetPeers sets the hosts of all other known nodes. A node that has just started
 // compares at once with some of the first nodes that it learns of: its server may be up
 // already, and the next request may be one that crashed other servers.
-func (g *Gossip) SetPeers(now time.Duration, hosts []string) []Parcel {
+func (g *Gossip) SetPeers(now time.Duration, hosts []string) []Envelope {
 	first := len(g.peers) == 0
 	g.peers = hosts
 	if !first {
 		return nil
 	}
-	var out []Parcel
+	var out []Envelope
 	for _, i := range g.random.Perm(len(hosts))[:min(fanout, len(hosts))] {
-		out = append(out, g.admit(now, []Parcel{{To: hosts[i], Message: g.Compare()}})...)
+		out = append(out, g.admit(now, []Envelope{{To: hosts[i], Message: g.Compare()}})...)
 	}
 	return out
 }
@@ -118,32 +118,32 @@
 // Peers returns the number of other known nodes.
 func (g *Gossip) Peers() int { return len(g.peers) }
 
-// Spread sends news that originated on this node to some other nodes.
-func (g *Gossip) Spread(now time.Duration, news News) []Parcel { return g.forward(now, news, "") }
+// Broadcast sends news that originated on this node to some other nodes.
+func (g *Gossip) Broadcast(now time.Duration, news News) []Envelope { return g.forward(now, news, "") }
 
 // Receive processes a message and returns the messages to send in response.
-func (g *Gossip) Receive(now time.Duration, from string, m Message) []Parcel {
+func (g *Gossip) Receive(now time.Duration, from string, m Message) []Envelope {
 	forward, correction := g.Ledger.Learn(now, m.News)
 	out := g.forward(now, forward, from)
 	out = append(out, g.sendNews(now, from, correction)...)
 	if m.Compare && m.Digest != g.Ledger.Digest() {
 		out = append(out, g.sendHashes(now, from)...)
 	}
-	if m.Marks != nil {
-		out = append(out, g.replyToHashes(now, from, *m.Marks)...)
+	if m.Hashes != nil {
+		out = append(out, g.replyToHashes(now, from, *m.Hashes)...)
 	}
 	if len(m.Asked) > 0 {
-		out = append(out, g.sendNews(now, from, News{Ends: g.crashesByPriority(now, func(hash uint64) bool { return slices.Contains(m.Asked, hash) })})...)
+		out = append(out, g.sendNews(now, from, News{Crashes: g.crashesByPriority(now, func(hash uint64) bool { return slices.Contains(m.Asked, hash) })})...)
 	}
 	return out
 }
 
 // sendHashes sends the hashes of all crashes, split into messages that fit into a
 // datagram.
-func (g *Gossip) sendHashes(now time.Duration, to string) []Parcel {
+func (g *Gossip) sendHashes(now time.Duration, to string) []Envelope {
 	const maxHashes = (maxMessageBytes - messageHeaderBytes) / hashBytes
 	hashes := g.Ledger.hashes()
-	var out []Parcel
+	var out []Envelope
 	for first := uint64(0); ; {
 		list := hashes[:min(len(hashes), maxHashes)]
 		hashes = hashes[len(list):]
@@ -151,7 +151,7 @@
 		if len(hashes) > 0 {
 			last = list[len(list)-1]
 		}
-		out = append(out, Parcel{To: to, Message: Message{Digest: g.Ledger.Digest(), Marks: &Marks{First: first, Last: last, List: list}}})
+		out = append(out, Envelope{To: to, Message: Message{Digest: g.Ledger.Digest(), Hashes: &HashRange{First: first, Last: last, List: list}}})
 		if len(hashes) == 0 {
 			return g.admit(now, out)
 		}
@@ -161,19 +161,19 @@
 
 // replyToHashes sends the crashes that the sender lacks and requests those that are
 // missing here.
-func (g *Gossip) replyToHashes(now time.Duration, from string, m Marks) []Parcel {
+func (g *Gossip) replyToHashes(now time.Duration, from string, m HashRange) []Envelope {
 	missing := func(hash uint64) bool { return m.First <= hash && hash <= m.Last && !slices.Contains(m.List, hash) }
 	own := g.Ledger.hashes()
 	asked := slices.DeleteFunc(slices.Clone(m.List), func(hash uint64) bool { return slices.Contains(own, hash) })
-	var out []Parcel
+	var out []Envelope
 	if len(asked) > 0 {
-		out = g.admit(now, []Parcel{{To: from, Message: Message{Digest: g.Ledger.Digest(), Asked: asked}}})
+		out = g.admit(now, []Envelope{{To: from, Message: Message{Digest: g.Ledger.Digest(), Asked: asked}}})
 	}
-	return append(out, g.sendNews(now, from, News{Ends: g.crashesByPriority(now, missing)})...)
+	return append(out, g.sendNews(now, from, News{Crashes: g.crashesByPriority(now, missing)})...)
 }
 
-// Tick must be called every CompareEvery.
-func (g *Gossip) Tick(now time.Duration) []Parcel {
+// Tick must be called every CompareInterval.
+func (g *Gossip) Tick(now time.Duration) []Envelope {
 	g.Ledger.Tick(now)
 	if digest := g.Ledger.Digest(); digest != g.digest {
 		g.digest, g.changedAt = digest, now
@@ -183,7 +183,7 @@
 	}
 	g.comparedAt = now
 	peer := g.peers[g.random.IntN(len(g.peers))]
-	return g.admit(now, []Parcel{{To: peer, Message: g.Compare()}})
+	return g.admit(now, []Envelope{{To: peer, Message: g.Compare()}})
 }
 
 // Compare returns a message that requests what the receiver's ledger holds and this
@@ -194,28 +194,30 @@
 func (g *Gossip) compareInterval(now time.Duration) time.Duration {
 	switch {
 	case now-g.start < startupPeriod:
-		return CompareEvery
+		return CompareInterval
 	case g.digest == 0:
-		return emptyCompareEvery
+		return emptyCompareInterval
 	case now-g.changedAt < changePeriod:
-		return CompareEvery
+		return CompareInterval
 	}
-	return CalmEvery
+	return IdleCompareInterval
 }
 
-// Restless reports whether the ledger is not empty or may have missed news.
-func (g *Gossip) Restless(now time.Duration) bool { return g.compareInterval(now) != emptyCompareEvery }
+// NeedsSync reports whether the ledger is not empty or may have missed news.
+func (g *Gossip) NeedsSync(now time.Duration) bool {
+	return g.compareInterval(now) != emptyCompareInterval
+}
 
 // forward sends news to some random nodes, except the one that it came from.
-func (g *Gossip) forward(now time.Duration, news News, from string) []Parcel {
+func (g *Gossip) forward(now time.Duration, news News, from string) []Envelope {
 	if news.Empty() {
 		return nil
 	}
 	limit := reducedFanout
-	if len(news.Completions) > 0 || slices.ContainsFunc(news.Ends, func(e End) bool { return g.Ledger.maxCrashCount(e) > 1 }) {
+	if len(news.Completions) > 0 || slices.ContainsFunc(news.Crashes, func(e Crash) bool { return g.Ledger.maxCrashCount(e) > 1 }) {
 		limit = fanout
 	}
-	var out []Parcel
+	var out []Envelope
 	sent := 0
 	for _, i := range g.random.Perm(len(g.peers)) {
 		if sent == limit {
@@ -233,16 +235,16 @@
 // that are recorded with other crashes as well come first, since they matter most if
 // the budget does not suffice for all. The others are in random order, so that each is
 // sent eventually.
-func (g *Gossip) crashesByPriority(now time.Duration, wanted func(hash uint64) bool) []End {
-	all := g.Ledger.Held(now, wanted)
+func (g *Gossip) crashesByPriority(now time.Duration, wanted func(hash uint64) bool) []Crash {
+	all := g.Ledger.SelectCrashes(now, wanted)
 	g.random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	slices.SortStableFunc(all, func(a, b End) int { return g.Ledger.maxCrashCount(b) - g.Ledger.maxCrashCount(a) })
+	slices.SortStableFunc(all, func(a, b Crash) int { return g.Ledger.maxCrashCount(b) - g.Ledger.maxCrashCount(a) })
 	return all
 }
 
 // maxCrashCount returns the highest number of crashes with which any content of the
 // crash is recorded.
-func (l *Ledger) maxCrashCount(e End) int {
+func (l *Ledger) maxCrashCount(e Crash) int {
 	highest := 0
 	for _, c := range e.Contents {
 		highest = max(highest, l.crashCounts[c.Exact], l.crashCounts[c.Alike])
@@ -251,14 +253,14 @@
 }
 
 // sendNews wraps news in messages.
-func (g *Gossip) sendNews(now time.Duration, to string, news News) []Parcel {
+func (g *Gossip) sendNews(now time.Duration, to string, news News) []Envelope {
 	if news.Empty() {
 		return nil
 	}
 	list := splitNews(news)
-	out := make([]Parcel, 0, len(list))
+	out := make([]Envelope, 0, len(list))
 	for _, part := range list {
-		out = append(out, Parcel{To: to, Message: Message{News: part, Digest: g.Ledger.Digest()}})
+		out = append(out, Envelope{To: to, Message: Message{News: part, Digest: g.Ledger.Digest()}})
 	}
 	return g.admit(now, out)
 }
@@ -280,23 +282,23 @@
 		part := nextPart(completionBytes)
 		part.Completions = append(part.Completions, c)
 	}
-	for _, e := range news.Ends {
+	for _, e := range news.Crashes {
 		for _, piece := range e.split() {
 			part := nextPart(piece.bytes())
-			part.Ends = append(part.Ends, piece)
+			part.Crashes = append(part.Crashes, piece)
 		}
 	}
 	return list
 }
 
 // split splits a crash that is too large for one message.
-func (e End) split() []End {
+func (e Crash) split() []Crash {
 	const maxEntries = (maxMessageBytes - messageHeaderBytes - crashHeaderBytes) / (contentBytes + pathBytes)
-	var list []End
+	var list []Crash
 	contents, paths := e.Contents, e.Paths
 	for {
 		c, p := min(len(contents), maxEntries), min(len(paths), maxEntries)
-		list = append(list, End{ID: e.ID, Age: e.Age, Contents: contents[:c], Paths: paths[:p]})
+		list = append(list, Crash{ID: e.ID, Age: e.Age, Contents: contents[:c], Paths: paths[:p]})
 		contents, paths = contents[c:], paths[p:]
 		if len(contents) == 0 && len(paths) == 0 {
 			return list
@@ -304,27 +306,27 @@
 	}
 }
 
-func (e End) bytes() int {
+func (e Crash) bytes() int {
 	return crashHeaderBytes + contentBytes*len(e.Contents) + pathBytes*len(e.Paths)
 }
 
 func (m Message) bytes() int {
 	n := messageHeaderBytes + completionBytes*len(m.Completions) + hashBytes*len(m.Asked)
-	if m.Marks != nil {
-		n += hashBytes * len(m.Marks.List)
+	if m.Hashes != nil {
+		n += hashBytes * len(m.Hashes.List)
 	}
-	for _, e := range m.Ends {
+	for _, e := range m.Crashes {
 		n += e.bytes()
 	}
 	return n
 }
 
 // admit returns the leading messages that fit the budget.
-func (g *Gossip) admit(now time.Duration, parcels []Parcel) []Parcel {
-	for i, p := range parcels {
+func (g *Gossip) admit(now time.Duration, envelopes []Envelope) []Envelope {
+	for i, p := range envelopes {
 		if !g.budget.Allow(now, p.bytes()) {
-			return parcels[:i]
+			return envelopes[:i]
 		}
 	}
-	return parcels
+	return envelopes
 }
--- a/core/quarantine/gossip_test.go
+++ b/core/quarantine/gossip_test.go
@@ -31,7 +31,7 @@
 type delivery struct {
 	at   time.Duration
 	from string
-	Parcel
+	Envelope
 }
 
 type queue []delivery
@@ -71,8 +71,8 @@
 	f.send(host, g.SetPeers(f.now, peers))
 }
 
-func (f *fleet) send(from string, parcels []Parcel) {
-	for _, p := range parcels {
+func (f *fleet) send(from string, envelopes []Envelope) {
+	for _, p := range envelopes {
 		f.sent[from] = append(f.sent[from], f.now)
 		f.bytes[from] += p.bytes()
 		if f.random.Float64() < f.loss || f.cut(from, p.To) {
@@ -93,7 +93,7 @@
 			}
 		}
 		for i, h := range f.hosts {
-			if (f.now+time.Duration(i)*step)%CompareEvery == 0 && !f.down[h] {
+			if (f.now+time.Duration(i)*step)%CompareInterval == 0 && !f.down[h] {
 				f.send(h, f.nodes[h].Tick(f.now))
 			}
 		}
@@ -102,19 +102,19 @@
 
 func (f *fleet) crash(host string, contents ...Content) {
 	g := f.nodes[host]
-	f.send(host, g.Spread(f.now, g.Ledger.Ended(f.now, newEnd(contents...))))
+	f.send(host, g.Broadcast(f.now, g.Ledger.RecordCrash(f.now, newCrash(contents...))))
 }
 
 func (f *fleet) complete(host string, c Content) {
 	g := f.nodes[host]
-	f.send(host, g.Spread(f.now, g.Ledger.Completed(f.now, c)))
+	f.send(host, g.Broadcast(f.now, g.Ledger.Completed(f.now, c)))
 }
 
 // admitting returns the running hosts that do not quarantine a content.
 func (f *fleet) admitting(c Content) []string {
 	var list []string
 	for _, h := range f.hosts {
-		if !f.down[h] && f.nodes[h].Ledger.Barred(f.now, c) == 0 {
+		if !f.down[h] && f.nodes[h].Ledger.QuarantinedFor(f.now, c) == 0 {
 			list = append(list, h)
 		}
 	}
@@ -263,7 +263,7 @@
 	}
 	f.run(time.Second)
 	f.startNode("h19")
-	f.run(CompareEvery / 4)
+	f.run(CompareInterval / 4)
 	assert.DeepEqual(t, f.admitting(fatal), []string(nil))
 }
 
@@ -289,12 +289,12 @@
 func TestNewsIsSplitToFitDatagrams(t *testing.T) {
 	var news News
 	for i := range 3 {
-		e := newEnd()
+		e := newCrash()
 		for j := range 100 {
 			e.Contents = append(e.Contents, get(fmt.Sprint(i, j)))
 			e.Paths = append(e.Paths, Key(i*100+j+1))
 		}
-		news.Ends = append(news.Ends, e)
+		news.Crashes = append(news.Crashes, e)
 		news.Completions = append(news.Completions, Completion{Key: Key(i + 1)})
 	}
 	whole, again := NewLedger(), NewLedger()
--- a/core/quarantine/ledger.go
+++ b/core/quarantine/ledger.go
@@ -31,12 +31,12 @@
 	maxCompletions = 4096
 )
 
-// EndID identifies one crash of one backend server.
-type EndID uint64
+// CrashID identifies one crash of one backend server.
+type CrashID uint64
 
-// End describes what was running on a backend server when it crashed.
-type End struct {
-	ID EndID
+// Crash describes what was running on a backend server when it crashed.
+type Crash struct {
+	ID CrashID
 	// Age is the time since the crash.
 	Age      time.Duration
 	Contents []Content
@@ -55,16 +55,16 @@
 // News is the information that ledgers exchange. Applying it repeatedly or in any order
 // gives the same result.
 type News struct {
-	Ends        []End
+	Crashes     []Crash
 	Completions []Completion
 }
 
 // Empty reports whether the news has no entries.
-func (n News) Empty() bool { return len(n.Ends) == 0 && len(n.Completions) == 0 }
+func (n News) Empty() bool { return len(n.Crashes) == 0 && len(n.Completions) == 0 }
 
 // crash records a crash with the contents that are still suspected of it.
 type crash struct {
-	id       EndID
+	id       CrashID
 	at       time.Duration
 	contents []Content
 	paths    []Key
@@ -102,9 +102,9 @@
 	return &Ledger{completed: map[Key]time.Duration{}, crashCounts: map[Key]int{}, paths: map[Key]bool{}, quarantinedUntil: map[Key]time.Duration{}}
 }
 
-// Barred returns the remaining quarantine time of a content, or 0 if it is not
+// QuarantinedFor returns the remaining quarantine time of a content, or 0 if it is not
 // quarantined.
-func (l *Ledger) Barred(now time.Duration, c Content) time.Duration {
+func (l *Ledger) QuarantinedFor(now time.Duration, c Content) time.Duration {
 	if len(l.quarantinedUntil) == 0 {
 		return 0
 	}
@@ -115,9 +115,10 @@
 // a streamed body.
 func (l *Ledger) Suspected(path Key) bool { return l.paths[path] }
 
-// Ended records a crash of this node's server and returns the news for other nodes.
-func (l *Ledger) Ended(now time.Duration, e End) News {
-	forward, _ := l.Learn(now, News{Ends: []End{e}})
+// RecordCrash records a crash of this node's server and returns the news for other
+// nodes.
+func (l *Ledger) RecordCrash(now time.Duration, e Crash) News {
+	forward, _ := l.Learn(now, News{Crashes: []Crash{e}})
 	return forward
 }
 
@@ -147,13 +148,13 @@
 			forward.Completions = append(forward.Completions, c)
 		}
 	}
-	for _, e := range news.Ends {
+	for _, e := range news.Crashes {
 		if e.Age >= crashRetention-expiryMargin {
 			continue
 		}
 		added, shared, local := l.learnCrash(now, e)
 		if len(added.Contents) > 0 || len(added.Paths) > 0 {
-			forward.Ends = append(forward.Ends, added)
+			forward.Crashes = append(forward.Crashes, added)
 		}
 		correction.Completions = append(correction.Completions, shared...)
 		forward.Completions = append(forward.Completions, local...)
@@ -217,13 +218,13 @@
 // learnCrash records a crash, or adds to it if parts of it are known already. shared
 // holds the completions that clear contents of the crash and are known to other nodes,
 // and local those that only this node knows of.
-func (l *Ledger) learnCrash(now time.Duration, e End) (added End, shared, local []Completion) {
+func (l *Ledger) learnCrash(now time.Duration, e Crash) (added Crash, shared, local []Completion) {
 	held := l.crash(e.ID)
 	isNew := held == nil
 	if isNew {
 		held = &crash{id: e.ID, at: now - e.Age}
 	}
-	added = End{ID: e.ID, Age: e.Age}
+	added = Crash{ID: e.ID, Age: e.Age}
 	for _, c := range e.Contents {
 		for _, k := range [...]Key{c.Exact, c.Alike} {
 			if k == 0 {
@@ -276,7 +277,7 @@
 	return 0, false, false
 }
 
-func (l *Ledger) crash(id EndID) *crash {
+func (l *Ledger) crash(id CrashID) *crash {
 	for _, e := range l.crashes {
 		if e.id == id {
 			return e
@@ -312,12 +313,12 @@
 	l.changed = false
 }
 
-// Held returns the recorded crashes whose hashes are wanted.
-func (l *Ledger) Held(now time.Duration, wanted func(hash uint64) bool) []End {
-	var list []End
+// SelectCrashes returns the recorded crashes whose hashes are wanted.
+func (l *Ledger) SelectCrashes(now time.Duration, wanted func(hash uint64) bool) []Crash {
+	var list []Crash
 	for _, e := range l.crashes {
 		if wanted(e.hash) {
-			list = append(list, End{ID: e.id, Age: now - e.at, Contents: slices.Clone(e.contents), Paths: slices.Clone(e.paths)})
+			list = append(list, Crash{ID: e.id, Age: now - e.at, Contents: slices.Clone(e.contents), Paths: slices.Clone(e.paths)})
 		}
 	}
 	return list
--- a/core/quarantine/ledger_test.go
+++ b/core/quarantine/ledger_test.go
@@ -20,11 +20,11 @@
 	return ContentOf(Target{Method: "PUT", Host: "h", URI: uri, Caller: "shop"}, SumOf([]byte(body)))
 }
 
-var nextEndID EndID
+var nextCrashID CrashID
 
-func newEnd(contents ...Content) End {
-	nextEndID++
-	return End{ID: nextEndID, Contents: contents}
+func newCrash(contents ...Content) Crash {
+	nextCrashID++
+	return Crash{ID: nextCrashID, Contents: contents}
 }
 
 // TestThirdCrashQuarantines guards against a retried request that crashes one server
@@ -34,12 +34,12 @@
 	l := NewLedger()
 	fatal := put("/list", "kill")
 	for i := range quarantineThreshold {
-		assert.Equal(t, l.Barred(time.Second, fatal), time.Duration(0), "before crash %d", i+1)
-		l.Ended(time.Second, newEnd(fatal))
+		assert.Equal(t, l.QuarantinedFor(time.Second, fatal), time.Duration(0), "before crash %d", i+1)
+		l.RecordCrash(time.Second, newCrash(fatal))
 	}
-	assert.Equal(t, l.Barred(2*time.Second, fatal), crashRetention-time.Second)
-	assert.Equal(t, l.Barred(2*time.Second, put("/list", "keep")), time.Duration(0))
-	assert.Equal(t, l.Barred(2*time.Second, Content{}), time.Duration(0))
+	assert.Equal(t, l.QuarantinedFor(2*time.Second, fatal), crashRetention-time.Second)
+	assert.Equal(t, l.QuarantinedFor(2*time.Second, put("/list", "keep")), time.Duration(0))
+	assert.Equal(t, l.QuarantinedFor(2*time.Second, Content{}), time.Duration(0))
 }
 
 // TestQuarantineExpiresAndOneCrashRenewsIt guards against a quarantine that never ends,
@@ -49,14 +49,14 @@
 	l := NewLedger()
 	fatal := get("/fatal")
 	for i := range quarantineThreshold {
-		l.Ended(time.Duration(i)*time.Minute, newEnd(fatal))
+		l.RecordCrash(time.Duration(i)*time.Minute, newCrash(fatal))
 	}
-	assert.Assert(t, l.Barred(crashRetention-1, fatal) > 0)
+	assert.Assert(t, l.QuarantinedFor(crashRetention-1, fatal) > 0)
 	now := crashRetention + time.Second
 	l.Tick(now)
-	assert.Equal(t, l.Barred(now, fatal), time.Duration(0))
-	l.Ended(now, newEnd(fatal))
-	assert.Assert(t, l.Barred(now, fatal) > 0)
+	assert.Equal(t, l.QuarantinedFor(now, fatal), time.Duration(0))
+	l.RecordCrash(now, newCrash(fatal))
+	assert.Assert(t, l.QuarantinedFor(now, fatal) > 0)
 }
 
 // TestPopularRequestIsNotQuarantined guards against the quarantine of a request that
@@ -67,16 +67,16 @@
 	popular, fatal := get("/popular"), get("/fatal")
 	assert.Assert(t, elsewhere.Completed(time.Second, popular).Empty(), "the content is not suspected yet")
 	for range quarantineThreshold {
-		news := here.Ended(2*time.Second, newEnd(popular, fatal))
+		news := here.RecordCrash(2*time.Second, newCrash(popular, fatal))
 		forward, _ := elsewhere.Learn(2*time.Second, news)
-		for _, e := range forward.Ends {
+		for _, e := range forward.Crashes {
 			assert.DeepEqual(t, e.Contents, []Content{fatal})
 		}
 		here.Learn(2*time.Second, forward)
 	}
 	for _, l := range []*Ledger{here, elsewhere} {
-		assert.Equal(t, l.Barred(2*time.Second, popular), time.Duration(0))
-		assert.Assert(t, l.Barred(2*time.Second, fatal) > 0)
+		assert.Equal(t, l.QuarantinedFor(2*time.Second, popular), time.Duration(0))
+		assert.Assert(t, l.QuarantinedFor(2*time.Second, fatal) > 0)
 		assert.Equal(t, l.Digest(), here.Digest())
 	}
 }
@@ -88,13 +88,13 @@
 	l, other := NewLedger(), NewLedger()
 	rare := get("/rare")
 	for range quarantineThreshold {
-		other.Learn(0, l.Ended(0, newEnd(rare)))
+		other.Learn(0, l.RecordCrash(0, newCrash(rare)))
 	}
-	assert.Assert(t, other.Barred(0, rare) > 0)
+	assert.Assert(t, other.QuarantinedFor(0, rare) > 0)
 	news := l.Completed(time.Second, rare)
-	assert.Equal(t, l.Barred(time.Second, rare), time.Duration(0))
+	assert.Equal(t, l.QuarantinedFor(time.Second, rare), time.Duration(0))
 	other.Learn(time.Second, news)
-	assert.Equal(t, other.Barred(time.Second, rare), time.Duration(0))
+	assert.Equal(t, other.QuarantinedFor(time.Second, rare), time.Duration(0))
 	assert.Assert(t, l.Completed(2*time.Second, rare).Empty(), "the content is not suspected any more")
 }
 
@@ -105,9 +105,9 @@
 	fatal := get("/turned")
 	l.Completed(0, fatal)
 	for range quarantineThreshold {
-		l.Ended(completionWindow+time.Second, newEnd(fatal))
+		l.RecordCrash(completionWindow+time.Second, newCrash(fatal))
 	}
-	assert.Assert(t, l.Barred(completionWindow+time.Second, fatal) > 0)
+	assert.Assert(t, l.QuarantinedFor(completionWindow+time.Second, fatal) > 0)
 }
 
 // TestSenderIsCorrected guards against a lasting suspicion on a node that learns late
@@ -117,8 +117,8 @@
 	l, late := NewLedger(), NewLedger()
 	popular := get("/popular")
 	l.Learn(0, News{Completions: []Completion{{Key: popular.Exact}, {Key: popular.Alike}}})
-	late.Ended(0, newEnd(popular))
-	forward, correction := l.Learn(0, News{Ends: late.Held(0, func(uint64) bool { return true })})
+	late.RecordCrash(0, newCrash(popular))
+	forward, correction := l.Learn(0, News{Crashes: late.SelectCrashes(0, func(uint64) bool { return true })})
 	assert.Assert(t, forward.Empty())
 	late.Learn(0, correction)
 	assert.Equal(t, late.Digest(), l.Digest())
@@ -143,9 +143,9 @@
 		t.Run(c.desc, func(t *testing.T) {
 			l := NewLedger()
 			for _, content := range c.ends {
-				l.Ended(0, newEnd(content))
+				l.RecordCrash(0, newCrash(content))
 			}
-			assert.Equal(t, l.Barred(0, c.other) > 0, c.quarantined)
+			assert.Equal(t, l.QuarantinedFor(0, c.other) > 0, c.quarantined)
 		})
 	}
 }
@@ -156,10 +156,10 @@
 	l := NewLedger()
 	for range quarantineThreshold {
 		l.Completed(0, getFrom("y", "/a"))
-		l.Ended(0, newEnd(getFrom("x", "/a")))
+		l.RecordCrash(0, newCrash(getFrom("x", "/a")))
 	}
-	assert.Assert(t, l.Barred(0, getFrom("x", "/a")) > 0)
-	assert.Equal(t, l.Barred(0, getFrom("y", "/a")), time.Duration(0))
+	assert.Assert(t, l.QuarantinedFor(0, getFrom("x", "/a")) > 0)
+	assert.Equal(t, l.QuarantinedFor(0, getFrom("y", "/a")), time.Duration(0))
 }
 
 // TestRequestBesideTheCauseIsNotQuarantined guards against the quarantine of a request
@@ -168,14 +168,14 @@
 func TestRequestBesideTheCauseIsNotQuarantined(t *testing.T) {
 	l := NewLedger()
 	fatal, harmless := get("/fatal"), get("/company")
-	l.Ended(0, newEnd(fatal))
+	l.RecordCrash(0, newCrash(fatal))
 	for range quarantineThreshold {
-		l.Ended(0, newEnd(fatal, harmless))
+		l.RecordCrash(0, newCrash(fatal, harmless))
 	}
-	assert.Assert(t, l.Barred(0, fatal) > 0)
-	assert.Equal(t, l.Barred(0, harmless), time.Duration(0))
-	l.Ended(0, newEnd(harmless))
-	assert.Assert(t, l.Barred(0, harmless) > 0)
+	assert.Assert(t, l.QuarantinedFor(0, fatal) > 0)
+	assert.Equal(t, l.QuarantinedFor(0, harmless), time.Duration(0))
+	l.RecordCrash(0, newCrash(harmless))
+	assert.Assert(t, l.QuarantinedFor(0, harmless) > 0)
 }
 
 // TestTwoSimultaneousCausesAreQuarantined guards against overlooking two fatal requests
@@ -184,10 +184,10 @@
 	l := NewLedger()
 	one, two := get("/one"), put("/two", "kill")
 	for range quarantineThreshold {
-		l.Ended(0, newEnd(one, two))
+		l.RecordCrash(0, newCrash(one, two))
 	}
-	assert.Assert(t, l.Barred(0, one) > 0)
-	assert.Assert(t, l.Barred(0, two) > 0)
+	assert.Assert(t, l.QuarantinedFor(0, one) > 0)
+	assert.Assert(t, l.QuarantinedFor(0, two) > 0)
 }
 
 // TestPathStaysSuspected guards against streaming a body unread to a server where such
@@ -196,7 +196,7 @@
 	l := NewLedger()
 	path := PathOf(Target{Method: "POST", Host: "h", URI: "/up?x"})
 	assert.Assert(t, !l.Suspected(path))
-	l.Ended(0, End{ID: 1, Paths: []Key{path}})
+	l.RecordCrash(0, Crash{ID: 1, Paths: []Key{path}})
 	l.Completed(0, put("/up", "other"))
 	assert.Assert(t, l.Suspected(path))
 	assert.Assert(t, l.Digest() != 0)
@@ -211,7 +211,7 @@
 		for id := range rapid.IntRange(1, 8).Draw(t, "ends") {
 			age := time.Duration(rapid.IntRange(0, 100).Draw(t, "age")) * time.Second
 			for _, c := range rapid.SliceOfNDistinct(rapid.SampledFrom(contents), 1, 4, func(c Content) Key { return c.Exact }).Draw(t, "contents") {
-				news = append(news, News{Ends: []End{{ID: EndID(id + 1), Age: age, Contents: []Content{c}}}})
+				news = append(news, News{Crashes: []Crash{{ID: CrashID(id + 1), Age: age, Contents: []Content{c}}}})
 			}
 		}
 		for range rapid.IntRange(0, 4).Draw(t, "answers") {
@@ -237,7 +237,7 @@
 	l := NewLedger()
 	for i := range 3 * maxCompletions {
 		c := get(fmt.Sprint("/", i))
-		l.Learn(0, News{Ends: []End{newEnd(c)}, Completions: []Completion{{Key: Key(i + 1)}}})
+		l.Learn(0, News{Crashes: []Crash{newCrash(c)}, Completions: []Completion{{Key: Key(i + 1)}}})
 	}
 	assert.Assert(t, len(l.crashes) <= maxCrashes)
 	assert.Assert(t, len(l.completed) <= maxCompletions)
--- a/internal/quarantine/exchange.go
+++ b/internal/quarantine/exchange.go
@@ -14,7 +14,7 @@
 const (
 	// exchangeInterval is the interval at which a node exchanges with a control replica while it
 	// has something to send or may have missed something.
-	exchangeInterval = quarantine.CalmEvery
+	exchangeInterval = quarantine.IdleCompareInterval
 	// nodesAtFullRate is the number of nodes up to which each uses exchangeInterval. In a larger
 	// fleet the interval grows with the number of nodes, so that the load on control stays the same.
 	nodesAtFullRate = 256
@@ -50,7 +50,7 @@
 func (k *Keeper) nextExchange() (wait time.Duration, active bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return exchangeInterval * time.Duration(1+k.gossip.Peers()/nodesAtFullRate), k.gossip.Restless(k.now())
+	return exchangeInterval * time.Duration(1+k.gossip.Peers()/nodesAtFullRate), k.gossip.NeedsSync(k.now())
 }
 
 // exchange performs one exchange with one replica. If the replica does not respond, the next
@@ -82,7 +82,7 @@
 			k.options.Counters.Malformed.Add(1)
 			continue
 		}
-		k.update(func(now time.Duration) (others []quarantine.Parcel) {
+		k.update(func(now time.Duration) (others []quarantine.Envelope) {
 			for _, p := range k.gossip.Receive(now, from, m) {
 				if p.To == from {
 					answers = append(answers, toWire(k.options.Host, p.Message))
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -64,24 +64,24 @@
 
 // Run compares the ledger with those of other nodes until ctx is done.
 func (k *Keeper) Run(ctx context.Context) {
-	ticker := time.NewTicker(quarantine.CompareEvery)
+	ticker := time.NewTicker(quarantine.CompareInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			k.update(func(now time.Duration) []quarantine.Parcel { return k.gossip.Tick(now) })
+			k.update(func(now time.Duration) []quarantine.Envelope { return k.gossip.Tick(now) })
 		}
 	}
 }
 
 // update runs a step under the lock and sends the resulting messages.
-func (k *Keeper) update(step func(now time.Duration) []quarantine.Parcel) {
+func (k *Keeper) update(step func(now time.Duration) []quarantine.Envelope) {
 	k.mu.Lock()
 	now := k.now()
 	parcels := step(now)
-	barred := k.gossip.Ledger.AllBarred(now)
+	barred := k.gossip.Ledger.AllQuarantined(now)
 	k.anyBarred.Store(len(barred) > 0)
 	k.logChanges(barred)
 	k.mu.Unlock()
@@ -93,7 +93,7 @@
 
 // logChanges logs which contents are newly quarantined and which no longer are; the caller
 // holds the lock.
-func (k *Keeper) logChanges(barred []quarantine.Barred) {
+func (k *Keeper) logChanges(barred []quarantine.Quarantined) {
 	if len(barred) == 0 && len(k.loggedKeys) == 0 {
 		return
 	}
@@ -101,7 +101,7 @@
 	for _, b := range barred {
 		now[b.Key] = true
 		if !k.loggedKeys[b.Key] {
-			klog.InfoS("Content kept away from servers", "host", k.options.Host, "content", b.Key, "ends", b.Ends, "for", b.Left)
+			klog.InfoS("Content kept away from servers", "host", k.options.Host, "content", b.Key, "ends", b.Crashes, "for", b.Left)
 		}
 	}
 	for key := range k.loggedKeys {
@@ -114,7 +114,7 @@
 
 // SetPeers sets the hosts of all other known nodes.
 func (k *Keeper) SetPeers(hosts []string) {
-	k.update(func(now time.Duration) []quarantine.Parcel { return k.gossip.SetPeers(now, hosts) })
+	k.update(func(now time.Duration) []quarantine.Envelope { return k.gossip.SetPeers(now, hosts) })
 }
 
 // Receive processes a datagram from another node.
@@ -124,7 +124,7 @@
 		k.options.Counters.Malformed.Add(1)
 		return
 	}
-	k.update(func(now time.Duration) []quarantine.Parcel { return k.gossip.Receive(now, from, m) })
+	k.update(func(now time.Duration) []quarantine.Envelope { return k.gossip.Receive(now, from, m) })
 }
 
 // Ended records that the local backend server terminated while it ran requests with the
@@ -134,9 +134,9 @@
 		return
 	}
 	k.options.Counters.Ends.Add(1)
-	e := quarantine.End{ID: quarantine.EndID(rand.Uint64()), Contents: contents, Paths: paths}
-	k.update(func(now time.Duration) []quarantine.Parcel {
-		return k.gossip.Spread(now, k.gossip.Ledger.Ended(now, e))
+	e := quarantine.Crash{ID: quarantine.CrashID(rand.Uint64()), Contents: contents, Paths: paths}
+	k.update(func(now time.Duration) []quarantine.Envelope {
+		return k.gossip.Broadcast(now, k.gossip.Ledger.RecordCrash(now, e))
 	})
 	select {
 	case k.exchangeNow <- struct{}{}:
@@ -153,7 +153,7 @@
 	news := k.gossip.Ledger.Completed(k.now(), c)
 	k.mu.Unlock()
 	if !news.Empty() {
-		k.update(func(now time.Duration) []quarantine.Parcel { return k.gossip.Spread(now, news) })
+		k.update(func(now time.Duration) []quarantine.Envelope { return k.gossip.Broadcast(now, news) })
 	}
 }
 
@@ -165,14 +165,14 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.gossip.Ledger.Barred(k.now(), c)
+	return k.gossip.Ledger.QuarantinedFor(k.now(), c)
 }
 
 // Contents returns the number of quarantined contents.
 func (k *Keeper) Contents() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return len(k.gossip.Ledger.AllBarred(k.now()))
+	return len(k.gossip.Ledger.AllQuarantined(k.now()))
 }
 
 // Refused counts a request that was refused because of its quarantine.
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -16,11 +16,11 @@
 func TestDatagramsRoundTrip(t *testing.T) {
 	m := quarantine.Message{
 		News: quarantine.News{
-			Ends: []quarantine.End{{ID: 7, Age: 1500 * time.Millisecond, Contents: []quarantine.Content{contentOf("/a"), {Exact: 3}}, Paths: []quarantine.Key{9}},
+			Crashes: []quarantine.Crash{{ID: 7, Age: 1500 * time.Millisecond, Contents: []quarantine.Content{contentOf("/a"), {Exact: 3}}, Paths: []quarantine.Key{9}},
 				{ID: 8, Paths: []quarantine.Key{1}}},
 			Completions: []quarantine.Completion{{Key: 5, Age: time.Minute}},
 		},
-		Digest: 1 << 63, Compare: true, Marks: &quarantine.Marks{First: 1, Last: 1 << 63, List: []uint64{1, 2}}, Asked: []uint64{4},
+		Digest: 1 << 63, Compare: true, Hashes: &quarantine.HashRange{First: 1, Last: 1 << 63, List: []uint64{1, 2}}, Asked: []uint64{4},
 	}
 	from, got, err := decode(encode("host-1", m))
 	assert.NilError(t, err)
@@ -30,8 +30,8 @@
 
 func TestMalformedDatagramsAreIgnored(t *testing.T) {
 	k := New(Options{Host: "h", Counters: &Counters{}})
-	uneven := encode("x", quarantine.Message{News: quarantine.News{Ends: []quarantine.End{{ID: 1, Contents: []quarantine.Content{contentOf("/a")}}}}})
-	tooOld := encode("x", quarantine.Message{News: quarantine.News{Ends: []quarantine.End{{ID: 1, Age: maxAge + time.Second}}}})
+	uneven := encode("x", quarantine.Message{News: quarantine.News{Crashes: []quarantine.Crash{{ID: 1, Contents: []quarantine.Content{contentOf("/a")}}}}})
+	tooOld := encode("x", quarantine.Message{News: quarantine.News{Crashes: []quarantine.Crash{{ID: 1, Age: maxAge + time.Second}}}})
 	for _, bad := range [][]byte{nil, {1}, {Mark, 255}, uneven[:len(uneven)-3], tooOld} {
 		k.Receive(bad)
 	}
@@ -68,7 +68,7 @@
 		k.Completed(contentOf("/other"))
 	}
 	late := add("d")
-	late.update(func(now time.Duration) []quarantine.Parcel { return late.gossip.Tick(now) })
+	late.update(func(now time.Duration) []quarantine.Envelope { return late.gossip.Tick(now) })
 	for host, k := range keepers {
 		assert.Assert(t, k.Barred(fatal) > 0, host)
 		assert.Equal(t, k.Barred(contentOf("/other")), time.Duration(0), host)
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -35,7 +35,7 @@
 			return
 		case <-ticker.C:
 		}
-		k.update(func(now time.Duration) []quarantine.Parcel {
+		k.update(func(now time.Duration) []quarantine.Envelope {
 			k.gossip.Ledger.Tick(now)
 			return nil
 		})
@@ -62,9 +62,9 @@
 
 func (k *Keeper) save(folder string) error {
 	k.mu.Lock()
-	ends := k.gossip.Ledger.Held(k.now(), func(uint64) bool { return true })
+	ends := k.gossip.Ledger.SelectCrashes(k.now(), func(uint64) bool { return true })
 	k.mu.Unlock()
-	held := toWire(k.options.Host, quarantine.Message{News: quarantine.News{Ends: ends}})
+	held := toWire(k.options.Host, quarantine.Message{News: quarantine.News{Crashes: ends}})
 	data, err := proto.Marshal(&apiv1.StoredQuarantine{StoredUnixMs: time.Now().UnixMilli(), News: held})
 	if err != nil {
 		return err
@@ -91,10 +91,10 @@
 		return err
 	}
 	since := max(0, time.Now().UnixMilli()-stored.StoredUnixMs)
-	for i := range m.Ends {
-		m.Ends[i].Age += time.Duration(since) * time.Millisecond
+	for i := range m.Crashes {
+		m.Crashes[i].Age += time.Duration(since) * time.Millisecond
 	}
-	k.update(func(now time.Duration) []quarantine.Parcel {
+	k.update(func(now time.Duration) []quarantine.Envelope {
 		k.gossip.Ledger.Learn(now, m.News)
 		return nil
 	})
--- a/internal/quarantine/wire.go
+++ b/internal/quarantine/wire.go
@@ -47,7 +47,7 @@
 
 func toWire(from string, m quarantine.Message) *apiv1.QuarantineNews {
 	news := &apiv1.QuarantineNews{From: from, Digest: m.Digest, Compare: m.Compare, Asked: m.Asked}
-	for _, e := range m.Ends {
+	for _, e := range m.Crashes {
 		out := &apiv1.ServerEnd{Id: uint64(e.ID), AgeMs: uint64(e.Age.Milliseconds())}
 		for _, c := range e.Contents {
 			out.Exact = append(out.Exact, uint64(c.Exact))
@@ -61,8 +61,8 @@
 	for _, c := range m.Completions {
 		news.Completions = append(news.Completions, &apiv1.ContentCompletion{Key: uint64(c.Key), AgeMs: uint64(c.Age.Milliseconds())})
 	}
-	if m.Marks != nil {
-		news.Marks = &apiv1.QuarantineMarks{First: m.Marks.First, Last: m.Marks.Last, List: m.Marks.List}
+	if m.Hashes != nil {
+		news.Marks = &apiv1.QuarantineMarks{First: m.Hashes.First, Last: m.Hashes.Last, List: m.Hashes.List}
 	}
 	return news
 }
@@ -73,7 +73,7 @@
 		if len(e.Exact) != len(e.Alike) {
 			return "", m, errMalformed
 		}
-		end := quarantine.End{ID: quarantine.EndID(e.Id)}
+		end := quarantine.Crash{ID: quarantine.CrashID(e.Id)}
 		if end.Age, err = parseAge(e.AgeMs); err != nil {
 			return "", m, err
 		}
@@ -83,7 +83,7 @@
 		for _, p := range e.Paths {
 			end.Paths = append(end.Paths, quarantine.Key(p))
 		}
-		m.Ends = append(m.Ends, end)
+		m.Crashes = append(m.Crashes, end)
 	}
 	for _, c := range news.GetCompletions() {
 		completion := quarantine.Completion{Key: quarantine.Key(c.Key)}
@@ -93,7 +93,7 @@
 		m.Completions = append(m.Completions, completion)
 	}
 	if news.GetMarks() != nil {
-		m.Marks = &quarantine.Marks{First: news.Marks.First, Last: news.Marks.Last, List: news.Marks.List}
+		m.Hashes = &quarantine.HashRange{First: news.Marks.First, Last: news.Marks.Last, List: news.Marks.List}
 	}
 	return news.GetFrom(), m, nil
 }
