--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// Ended is the result of an attempt.
-type Ended int
+// Result is the result of an attempt.
+type Result int
 
 // Results of an attempt.
 const (
 	// Answered: the backend server answered. The answer is final whatever its status.
 	// The layers above do not retry it either, so a failure 22 layers deep costs one
 	// set of retries instead of one per layer.
-	Answered Ended = iota
+	Answered Result = iota
 	// Moved: the gate named a sibling that will take the request.
 	Moved
 	// Restarted: the endpoint's node has restarted since its directory entry was read.
@@ -27,16 +27,16 @@
 	// NotRunAnywhere: the gate refused the request and knows that its siblings have no
 	// capacity either. Another attempt would add load and be refused as well.
 	NotRunAnywhere
-	// Leaving: the gate refused the request because its server is draining. This says
+	// Draining: the gate refused the request because its server is draining. This says
 	// nothing about load and happens once for each request in flight. It does not use
 	// the budget, since a planned stop could otherwise exhaust the budget and fail the
 	// requests that it moves.
-	Leaving
-	// Unreached: no connection could be made to the endpoint's node, or from there to
+	Draining
+	// Unreachable: no connection could be made to the endpoint's node, or from there to
 	// its backend server. Nothing was sent, so another attempt duplicates nothing. It
 	// does not use the budget: otherwise, after rejections elsewhere have exhausted the
 	// budget, one slow link would fail requests that every other endpoint could serve.
-	Unreached
+	Unreachable
 	// NotRun: the gate refused the request, or a revoke established that it never
 	// started. It did not reach a backend server.
 	NotRun
@@ -53,11 +53,11 @@
 const (
 	// Deliver passes the answer on to the caller.
 	Deliver Action = iota
-	// TryNamed sends the request to the sibling that the gate named, or again to the
+	// RetryNamed sends the request to the sibling that the gate named, or again to the
 	// same endpoint after its node restarted.
-	TryNamed
-	// TryOther sends the request to another endpoint.
-	TryOther
+	RetryNamed
+	// RetryOther sends the request to another endpoint.
+	RetryOther
 	// GiveUpNotRun tells the caller that the request did not run.
 	GiveUpNotRun
 	// GiveUpUnknown tells the caller that the request may have run.
@@ -94,9 +94,9 @@
 
 // Next returns the action after an attempt. othersLeft is set if there is an endpoint
 // that was not tried or is worth trying again.
-func (r *Request) Next(ended Ended, budget *Budget, othersLeft bool) Action {
+func (r *Request) Next(result Result, budget *Budget, othersLeft bool) Action {
 	r.attempts++
-	switch ended {
+	switch result {
 	case Answered:
 		return Deliver
 	case NotRunAnywhere:
@@ -107,7 +107,7 @@
 			return r.GiveUp()
 		}
 		r.attempts--
-		return TryNamed
+		return RetryNamed
 	case Rejected:
 		r.reached++
 	case Lost:
@@ -120,10 +120,10 @@
 	if r.reached >= r.MaxAttempts || r.attempts >= max(r.MaxAttempts, minGateAttempts) || !othersLeft {
 		return r.GiveUp()
 	}
-	if ended != Leaving && ended != Unreached && !budget.Take() {
+	if result != Draining && result != Unreachable && !budget.Take() {
 		return r.GiveUp()
 	}
-	return TryOther
+	return RetryOther
 }
 
 // Hedge reports whether a second attempt may run in parallel with the first, for an
@@ -215,8 +215,10 @@
 	b.earned *= math.Exp(-float64(elapsed) / float64(b.earnedDecay))
 }
 
-// Call counts an incoming call.
-func (b *Budget) Call() { b.earned = min(b.earned+float64(b.perMille)*perMilleUnit, b.earnedLimit) }
+// RecordCall counts an incoming call.
+func (b *Budget) RecordCall() {
+	b.earned = min(b.earned+float64(b.perMille)*perMilleUnit, b.earnedLimit)
+}
 
 // Take takes one retry from the budget and reports whether the budget allowed it. A
 // ratio of 0 allows none.
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -11,25 +11,25 @@
 	cases := []struct {
 		desc       string
 		idempotent bool
-		ends       []Ended
+		ends       []Result
 		want       Action
 	}{
-		{"an answer is final", false, []Ended{Answered}, Deliver},
-		{"a move goes to the named sibling", false, []Ended{Moved}, TryNamed},
-		{"two moves are allowed", false, []Ended{Moved, Moved}, TryNamed},
-		{"a third move gives up, and it did not run", false, []Ended{Moved, Moved, Moved}, GiveUpNotRun},
-		{"a request that did not run may go to another endpoint", false, []Ended{NotRun}, TryOther},
-		{"an unreached endpoint allows another attempt", false, []Ended{Unreached}, TryOther},
-		{"unreached endpoints end the request after three attempts", false, []Ended{Unreached, Unreached, Unreached}, GiveUpNotRun},
-		{"lost, then unreached: it may have run", true, []Ended{Lost, Unreached, Unreached}, GiveUpUnknown},
-		{"no capacity at any sibling ends it at once", true, []Ended{NotRunAnywhere}, GiveUpNotRun},
-		{"a lost payment is never sent again", false, []Ended{Lost}, GiveUpUnknown},
-		{"a lost read may be sent again", true, []Ended{Lost}, TryOther},
-		{"attempts are limited", false, []Ended{NotRun, NotRun, NotRun}, GiveUpNotRun},
-		{"lost, then refused: it may have run", true, []Ended{Lost, NotRunAnywhere}, GiveUpUnknown},
-		{"lost, then moved too often: it may have run", true, []Ended{Lost, Moved, Moved, Moved}, GiveUpUnknown},
-		{"rejections by servers are limited", false, []Ended{Rejected, Rejected, Rejected}, GiveUpNotRun},
-		{"a restarted node gets the request again", false, []Ended{Restarted}, TryNamed},
+		{"an answer is final", false, []Result{Answered}, Deliver},
+		{"a move goes to the named sibling", false, []Result{Moved}, RetryNamed},
+		{"two moves are allowed", false, []Result{Moved, Moved}, RetryNamed},
+		{"a third move gives up, and it did not run", false, []Result{Moved, Moved, Moved}, GiveUpNotRun},
+		{"a request that did not run may go to another endpoint", false, []Result{NotRun}, RetryOther},
+		{"an unreached endpoint allows another attempt", false, []Result{Unreachable}, RetryOther},
+		{"unreached endpoints end the request after three attempts", false, []Result{Unreachable, Unreachable, Unreachable}, GiveUpNotRun},
+		{"lost, then unreached: it may have run", true, []Result{Lost, Unreachable, Unreachable}, GiveUpUnknown},
+		{"no capacity at any sibling ends it at once", true, []Result{NotRunAnywhere}, GiveUpNotRun},
+		{"a lost payment is never sent again", false, []Result{Lost}, GiveUpUnknown},
+		{"a lost read may be sent again", true, []Result{Lost}, RetryOther},
+		{"attempts are limited", false, []Result{NotRun, NotRun, NotRun}, GiveUpNotRun},
+		{"lost, then refused: it may have run", true, []Result{Lost, NotRunAnywhere}, GiveUpUnknown},
+		{"lost, then moved too often: it may have run", true, []Result{Lost, Moved, Moved, Moved}, GiveUpUnknown},
+		{"rejections by servers are limited", false, []Result{Rejected, Rejected, Rejected}, GiveUpNotRun},
+		{"a restarted node gets the request again", false, []Result{Restarted}, RetryNamed},
 	}
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
@@ -53,7 +53,7 @@
 		budget := NewBudget(1000)
 		mayHaveRun := false
 		for range 12 {
-			ended := rapid.SampledFrom([]Ended{Moved, Restarted, NotRunAnywhere, Unreached, NotRun, Lost}).Draw(t, "ended")
+			ended := rapid.SampledFrom([]Result{Moved, Restarted, NotRunAnywhere, Unreachable, NotRun, Lost}).Draw(t, "ended")
 			mayHaveRun = mayHaveRun || ended == Lost
 			action := r.Next(ended, budget, rapid.Bool().Draw(t, "others"))
 			if mayHaveRun && action == GiveUpNotRun {
@@ -82,17 +82,17 @@
 	for i := range budgets {
 		budgets[i] = NewBudget(100)
 	}
-	var serve func(layer int) Ended
-	serve = func(layer int) Ended {
+	var serve func(layer int) Result
+	serve = func(layer int) Result {
 		if layer == layers {
 			return NotRun
 		}
 		arrivals[layer]++
-		budgets[layer].Call()
+		budgets[layer].RecordCall()
 		r := Request{Idempotent: true, MaxAttempts: 3}
 		for {
 			attempts[layer]++
-			if r.Next(serve(layer+1), budgets[layer], true) != TryOther {
+			if r.Next(serve(layer+1), budgets[layer], true) != RetryOther {
 				// The layer's backend server answers its caller with an error.
 				return Answered
 			}
@@ -114,10 +114,10 @@
 	budget := NewBudget(10)
 	for range 100 {
 		r := Request{MaxAttempts: 3}
-		assert.Equal(t, r.Next(Leaving, budget, true), TryOther)
+		assert.Equal(t, r.Next(Draining, budget, true), RetryOther)
 	}
 	r := Request{MaxAttempts: 3}
-	assert.Equal(t, r.Next(NotRun, budget, true), TryOther)
+	assert.Equal(t, r.Next(NotRun, budget, true), RetryOther)
 }
 
 func TestBudgetOfZeroAllowsNoRetry(t *testing.T) {
@@ -130,23 +130,23 @@
 func TestRefusalAtAGateIsNoAttempt(t *testing.T) {
 	r := Request{MaxAttempts: 1}
 	budget := NewBudget(100)
-	assert.Equal(t, r.Next(Leaving, budget, true), TryOther)
-	assert.Equal(t, r.Next(NotRun, budget, true), TryOther)
+	assert.Equal(t, r.Next(Draining, budget, true), RetryOther)
+	assert.Equal(t, r.Next(NotRun, budget, true), RetryOther)
 	assert.Equal(t, r.Next(NotRun, budget, true), GiveUpNotRun)
 	rejected := Request{MaxAttempts: 1}
 	assert.Equal(t, rejected.Next(Rejected, budget, true), GiveUpNotRun)
 }
 
-// TestUnreachedCostsNoBudget guards against refusals while other endpoints have
+// TestUnreachableCostsNoBudget guards against refusals while other endpoints have
 // capacity. Servers of the service reject requests, and the retries exhaust the budget.
 // Then the link to one host is saturated and its connections time out. The requests
 // sent there were given up for lack of budget, with most of their time left. Nothing
 // was sent, so the next attempt is the first to arrive.
-func TestUnreachedCostsNoBudget(t *testing.T) {
+func TestUnreachableCostsNoBudget(t *testing.T) {
 	budget := NewBudget(0)
 	assert.Assert(t, !budget.Take())
 	r := Request{MaxAttempts: 3}
-	assert.Equal(t, r.Next(Unreached, budget, true), TryOther)
+	assert.Equal(t, r.Next(Unreachable, budget, true), RetryOther)
 	rejected := Request{MaxAttempts: 3}
 	assert.Equal(t, rejected.Next(Rejected, budget, true), GiveUpNotRun)
 }
--- a/core/retry/shared_test.go
+++ b/core/retry/shared_test.go
@@ -32,7 +32,7 @@
 				b.Refill(step)
 				n := rapid.IntRange(0, rate).Draw(t, "calls")
 				for range n {
-					b.Call()
+					b.RecordCall()
 				}
 				called += n
 				if rapid.Bool().Draw(t, "storm") {
--- a/internal/emulator/call.go
+++ b/internal/emulator/call.go
@@ -55,7 +55,7 @@
 	sim.requests++
 	service := sim.scenario.serviceIndex(class.Service)
 	origin.refillBudget(service)
-	origin.budgets[service].Call()
+	origin.budgets[service].RecordCall()
 	c := &call{sim: sim, class: class, origin: origin, id: [2]uint64{1, sim.requests}, deadline: min(deadline, sim.now()+class.Timeout.Duration()), done: done,
 		retryState: retry.Request{Idempotent: class.Idempotent, MaxAttempts: max(1, class.MaxAttempts)}}
 	sim.clock.At(c.deadline, c.timeOut)
@@ -140,7 +140,7 @@
 	switch e.Reason {
 	case gate.Draining:
 		c.pool().SetDraining(a.to)
-		ended = retry.Leaving
+		ended = retry.Draining
 	case gate.QueueFull, gate.TooLate:
 		c.pool().SetCrowded(c.sim.now(), a.to)
 	}
@@ -151,7 +151,7 @@
 }
 
 // onEnded handles an attempt that ended without an answer.
-func (a *attempt) onEnded(ended retry.Ended) {
+func (a *attempt) onEnded(ended retry.Result) {
 	if !a.settle() {
 		return
 	}
@@ -168,13 +168,13 @@
 	c.applyRetryRules(ended, a)
 }
 
-func (c *call) applyRetryRules(ended retry.Ended, a *attempt) {
+func (c *call) applyRetryRules(ended retry.Result, a *attempt) {
 	switch action := c.retryState.Next(ended, c.budget(), c.pool().Others(c.tried)); action {
-	case retry.TryNamed:
+	case retry.RetryNamed:
 		to := c.pool().Get(a.movedTo)
 		c.pool().Start(to)
 		c.sendAttempt(to)
-	case retry.TryOther:
+	case retry.RetryOther:
 		c.sim.result.retries++
 		c.sendAttempt(c.pick())
 	default:
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -159,7 +159,7 @@
 	c := a.call
 	if n.state.down {
 		n.finishAttempt(a, gate.NeverReached)
-		n.sim.deliver(n, c.origin, func() { a.onEnded(retry.Unreached) })
+		n.sim.deliver(n, c.origin, func() { a.onEnded(retry.Unreachable) })
 		return
 	}
 	if n.random.Float64() < n.server.rejectShare {
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -93,7 +93,7 @@
 type result struct {
 	to    *selectedEndpoint
 	resp  *http.Response
-	ended retry.Ended
+	ended retry.Result
 	// reply is the reply of the endpoint's node; valid if hasReply is set.
 	reply    hop.Reply
 	hasReply bool
@@ -131,13 +131,13 @@
 			c.tried = append(c.tried, to.Host)
 		}
 		action := c.s.nextAction(&c.rules, r.ended, c.tried)
-		if (action == retry.TryOther || action == retry.TryNamed) && !c.resendable() {
+		if (action == retry.RetryOther || action == retry.RetryNamed) && !c.resendable() {
 			action = c.rules.GiveUp()
 		}
 		switch action {
-		case retry.TryNamed:
+		case retry.RetryNamed:
 			to = c.pickNamed(r.ended, to)
-		case retry.TryOther:
+		case retry.RetryOther:
 			c.h.options.Counters.Retries.Add(1)
 			to = c.s.pick(c.h.now(), c.tried)
 		default:
@@ -182,7 +182,7 @@
 
 // pickNamed returns the endpoint to which the last reply directs the request, or any
 // other if that endpoint is unknown here.
-func (c *call) pickNamed(ended retry.Ended, previous *selectedEndpoint) *selectedEndpoint {
+func (c *call) pickNamed(ended retry.Result, previous *selectedEndpoint) *selectedEndpoint {
 	host := previous.Host
 	if ended == retry.Moved {
 		c.h.options.Counters.Moves.Add(1)
--- a/internal/proxy/outcome.go
+++ b/internal/proxy/outcome.go
@@ -49,7 +49,7 @@
 
 // classifyReply maps a reply without a backend response to the end of the attempt, and
 // updates the endpoint's state.
-func (c *call) classifyReply(a attempt, reply hop.Reply) retry.Ended {
+func (c *call) classifyReply(a attempt, reply hop.Reply) retry.Result {
 	switch reply.Verdict {
 	case hop.Moved:
 		c.s.setCrowded(c.h.now(), a.to)
@@ -62,19 +62,19 @@
 	case hop.Rejected:
 		return retry.Rejected
 	case hop.Unreached:
-		return retry.Unreached
+		return retry.Unreachable
 	}
 	switch reply.Reason {
 	case gate.Draining:
 		c.s.setDraining(a.to)
-		return retry.Leaving
+		return retry.Draining
 	case gate.Evacuated:
 		// The endpoint's node learned of the evacuation's start or end at another time than
 		// this node.
 		c.s.avoid(c.h.now()+evacuatedAvoidDuration, a.to.Host)
-		return retry.Leaving
+		return retry.Draining
 	case gate.Down:
-		return retry.Unreached
+		return retry.Unreachable
 	case gate.QueueFull, gate.TooLate, gate.Overloaded:
 		c.s.setCrowded(c.h.now(), a.to)
 	}
@@ -87,12 +87,12 @@
 // resolveUnanswered determines the end of an attempt that received no valid response. It
 // asks the endpoint's node to revoke the attempt, which also tells whether it started,
 // unless no connection was made or the attempt was canceled.
-func (c *call) resolveUnanswered(a attempt, err error) retry.Ended {
+func (c *call) resolveUnanswered(a attempt, err error) retry.Result {
 	c.s.done(c.h.now(), a.to, false)
 	var dialErr *hop.DialError
 	if errors.As(err, &dialErr) {
 		logs.Decision(true, "Peer not reached", "request", c.requestID(), "attempt", hop.FormatID(a.id), "to", a.to.Host, "after", time.Since(a.sent), "err", err)
-		return retry.Unreached
+		return retry.Unreachable
 	}
 	if a.ctx.Err() != nil {
 		return retry.Lost
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -142,7 +142,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refill()
-	s.budget.Call()
+	s.budget.RecordCall()
 	rules = retry.Request{Idempotent: slices.Contains(s.spec.IdempotentMethods, method), MaxAttempts: int(max(1, s.spec.MaxAttempts))}
 	return s.spec, rules
 }
@@ -172,7 +172,7 @@
 	s.pool.Done(now, to.entry, reached)
 }
 
-func (s *service) nextAction(rules *retry.Request, ended retry.Ended, tried []string) retry.Action {
+func (s *service) nextAction(rules *retry.Request, ended retry.Result, tried []string) retry.Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refill()
--- a/internal/replay/node.go
+++ b/internal/replay/node.go
@@ -134,7 +134,7 @@
 		ended = retry.NotRunAnywhere
 	}
 	if e.Reason == gate.Draining {
-		ended = retry.Leaving
+		ended = retry.Draining
 	}
 	n.respond(a, func() {
 		if e.Reason == gate.Draining {
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -109,7 +109,7 @@
 func (sim *simulation) arrive(a Arrival) {
 	sim.request++
 	c := sim.callers[a.Caller]
-	c.budget.Call()
+	c.budget.RecordCall()
 	k := &call{arrival: a, caller: c, id: [2]uint64{uint64(a.Caller), sim.request}, deadline: sim.Now() + a.Deadline.Duration(),
 		retry: retry.Request{Idempotent: a.Idempotent, MaxAttempts: max(1, sim.trace.Header.Service.MaxAttempts)}}
 	sim.result.arrived(sim.Now())
@@ -205,7 +205,7 @@
 }
 
 // onRefused handles a refusal by the gate.
-func (sim *simulation) onRefused(a *attempt, ended retry.Ended) {
+func (sim *simulation) onRefused(a *attempt, ended retry.Result) {
 	if a.settled {
 		return
 	}
@@ -234,7 +234,7 @@
 }
 
 // applyRetryRules decides what follows an attempt that ended without an answer.
-func (sim *simulation) applyRetryRules(a *attempt, ended retry.Ended, target *balancer.Candidate) {
+func (sim *simulation) applyRetryRules(a *attempt, ended retry.Result, target *balancer.Candidate) {
 	k := a.call
 	if ended != retry.Moved && ended != retry.Restarted {
 		k.tried = append(k.tried, a.to.Host)
@@ -244,9 +244,9 @@
 
 func (sim *simulation) perform(k *call, action retry.Action, target *balancer.Candidate) {
 	switch action {
-	case retry.TryNamed:
+	case retry.RetryNamed:
 		sim.sendAttempt(k, target)
-	case retry.TryOther:
+	case retry.RetryOther:
 		sim.sendAttempt(k, nil)
 	case retry.GiveUpUnknown:
 		sim.complete(k, callUnknown)
