--- a/core/balancer/balancer.go
+++ b/core/balancer/balancer.go
@@ -148,9 +148,9 @@
 	return c
 }
 
-// Others reports whether there is a candidate that is neither draining nor evacuated
+// HasOther reports whether there is a candidate that is neither draining nor evacuated
 // nor in tried.
-func (p *Pool) Others(tried []string) bool {
+func (p *Pool) HasOther(tried []string) bool {
 	for _, c := range p.all {
 		if !c.Draining && !c.Evacuated && !slices.Contains(tried, c.Host) {
 			return true
@@ -209,13 +209,13 @@
 	}
 }
 
-// SetCrowded records that a candidate's gate passed a request on or refused it for lack
-// of capacity.
-func (p *Pool) SetCrowded(now time.Duration, c *Candidate) {
+// SetRecentlyFull records that a candidate's gate passed a request on or refused it for
+// lack of capacity.
+func (p *Pool) SetRecentlyFull(now time.Duration, c *Candidate) {
 	c.recentlyFullUntil = now + recentlyFullDuration
 }
 
-// RecentlyFull reports whether SetCrowded was called within recentlyFullDuration.
+// RecentlyFull reports whether SetRecentlyFull was called within recentlyFullDuration.
 func (c *Candidate) RecentlyFull(now time.Duration) bool { return now < c.recentlyFullUntil }
 
 // SetDraining records that a candidate's gate reported draining before the directory
--- a/core/balancer/balancer_test.go
+++ b/core/balancer/balancer_test.go
@@ -137,7 +137,7 @@
 		return c.Host
 	}
 	assert.Equal(t, pick(0), "near")
-	p.SetCrowded(0, p.Get("near"))
+	p.SetRecentlyFull(0, p.Get("near"))
 	far := 0
 	for range 20 {
 		if pick(50*time.Millisecond) == "far" {
@@ -158,7 +158,7 @@
 	p := newPool(leastoutstanding.New(newRandom()), 3)
 	p.SetDraining(p.Get("host-02"))
 	tried := []string{"host-00", "host-01"}
-	assert.Assert(t, !p.Others(tried))
+	assert.Assert(t, !p.HasOther(tried))
 	assert.Assert(t, p.Pick(0, tried) == nil)
 	assert.Assert(t, p.Pick(0, tried[:1]) == p.Get("host-01"))
 }
@@ -171,7 +171,7 @@
 	p.Update([]balancer.Candidate{{Host: "kept"}, {Host: "emptied", Evacuated: true}})
 	assert.Equal(t, p.Pick(0, nil).Host, "kept")
 	assert.Assert(t, p.Pick(0, []string{"kept"}) == nil)
-	assert.Assert(t, !p.Others([]string{"kept"}))
+	assert.Assert(t, !p.HasOther([]string{"kept"}))
 	assert.Assert(t, !p.Evacuated())
 	p.Update([]balancer.Candidate{{Host: "kept", Evacuated: true}, {Host: "emptied", Evacuated: true}})
 	assert.Assert(t, p.Pick(0, nil) == nil)
--- a/core/balancer/nearby/nearby_test.go
+++ b/core/balancer/nearby/nearby_test.go
@@ -45,7 +45,7 @@
 	pool.Update([]balancer.Candidate{{Host: "far", Slots: 10}, {Host: "near", Near: true, Slots: 10}})
 	near := pool.Get("near")
 	pool.Start(near)
-	pool.SetCrowded(0, near)
+	pool.SetRecentlyFull(0, near)
 	assert.Equal(t, pool.Pick(time.Millisecond, nil).Host, "far")
 	assert.Equal(t, pool.Pick(time.Minute, nil).Host, "near")
 }
--- a/internal/emulator/call.go
+++ b/internal/emulator/call.go
@@ -131,7 +131,7 @@
 	}
 	if e.Kind == gate.Moved {
 		c.sim.result.moves++
-		c.pool().SetCrowded(c.sim.now(), a.to)
+		c.pool().SetRecentlyFull(c.sim.now(), a.to)
 		a.movedTo = e.To
 		a.onEnded(retry.Moved)
 		return
@@ -142,7 +142,7 @@
 		c.pool().SetDraining(a.to)
 		ended = retry.Draining
 	case gate.QueueFull, gate.TooLate:
-		c.pool().SetCrowded(c.sim.now(), a.to)
+		c.pool().SetRecentlyFull(c.sim.now(), a.to)
 	}
 	if e.SiblingsFull && ended == retry.NotRun {
 		ended = retry.NotRunAnywhere
@@ -169,7 +169,7 @@
 }
 
 func (c *call) applyRetryRules(ended retry.Result, a *attempt) {
-	switch action := c.retryState.Next(ended, c.budget(), c.pool().Others(c.tried)); action {
+	switch action := c.retryState.Next(ended, c.budget(), c.pool().HasOther(c.tried)); action {
 	case retry.RetryNamed:
 		to := c.pool().Get(a.movedTo)
 		c.pool().Start(to)
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -117,7 +117,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	candidate := s.pool.Get(host)
-	if host != hop.AnyHost && (candidate == nil || candidate.Draining || candidate.Evacuated) || !s.pool.Others([]string{stuckHost}) {
+	if host != hop.AnyHost && (candidate == nil || candidate.Draining || candidate.Evacuated) || !s.pool.HasOther([]string{stuckHost}) {
 		return nil
 	}
 	s.refill()
@@ -176,7 +176,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refill()
-	return rules.Next(ended, s.budget, s.pool.Others(tried))
+	return rules.Next(ended, s.budget, s.pool.HasOther(tried))
 }
 
 func (s *service) avoid(until time.Duration, host string) {
@@ -188,7 +188,7 @@
 func (s *service) setCrowded(now time.Duration, to *selectedEndpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pool.SetCrowded(now, to.entry)
+	s.pool.SetRecentlyFull(now, to.entry)
 }
 
 func (s *service) setDraining(to *selectedEndpoint) {
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -239,7 +239,7 @@
 	if ended != retry.Moved && ended != retry.Restarted {
 		k.tried = append(k.tried, a.to.Host)
 	}
-	sim.perform(k, k.retry.Next(ended, k.caller.budget, k.caller.pool.Others(k.tried)), target)
+	sim.perform(k, k.retry.Next(ended, k.caller.budget, k.caller.pool.HasOther(k.tried)), target)
 }
 
 func (sim *simulation) perform(k *call, action retry.Action, target *balancer.Candidate) {
