--- a/core/directory/detect.go
+++ b/core/directory/detect.go
@@ -38,7 +38,7 @@
 		r.watched[host] = w
 	}
 	if w.suspected {
-		r.FalseAlarms++
+		r.FalseSuspicions++
 	}
 	w.lastHeard, w.suspected = now, false
 	return w
@@ -78,7 +78,7 @@
 	live := r.liveLocalRelays(now)
 	for host := range r.localHosts {
 		e := r.table.Get(host)
-		if Gone(e) || r.watched[host] != nil || slices.Contains(live, e.Relay) {
+		if IsTombstone(e) || r.watched[host] != nil || slices.Contains(live, e.Relay) {
 			continue
 		}
 		if Rendezvous(host, live)[0] == r.self.Host {
@@ -138,8 +138,8 @@
 	return r.table.Get(best).GetPeerAddress()
 }
 
-// Probed processes the result of a probe.
-func (r *Relay) Probed(now time.Duration, host string, incarnation uint64, ok bool) {
+// HandleProbeResult processes the result of a probe.
+func (r *Relay) HandleProbeResult(now time.Duration, host string, incarnation uint64, ok bool) {
 	e := r.table.Get(host)
 	if !ok || e == nil || r.watched[host] == nil {
 		return
@@ -153,7 +153,7 @@
 // markFailed marks a node failed.
 func (r *Relay) markFailed(now time.Duration, host string) {
 	e := r.table.Get(host)
-	if e == nil || Gone(e) {
+	if e == nil || IsTombstone(e) {
 		delete(r.watched, host)
 		return
 	}
--- a/core/directory/directory_test.go
+++ b/core/directory/directory_test.go
@@ -253,7 +253,7 @@
 			b.merge(0, e)
 		}
 	}
-	resp := a.Exchange(0, &apiv1.ExchangeRequest{FromHost: "b", FromDataCenter: "x", Cursor: &apiv1.Cursor{Epoch: 1}, Digests: b.Table().Digests(AllCenters)})
+	resp := a.Exchange(0, &apiv1.ExchangeRequest{FromHost: "b", FromDataCenter: "x", Cursor: &apiv1.Cursor{Epoch: 1}, Digests: b.Table().Digests(AllDataCenters)})
 	return proto.Size(resp)
 }
 
@@ -352,6 +352,6 @@
 			b.Merge(claims[i])
 			b.Merge(claims[random.IntN(len(claims))])
 		}
-		assert.DeepEqual(t, a.Digests(AllCenters), b.Digests(AllCenters))
+		assert.DeepEqual(t, a.Digests(AllDataCenters), b.Digests(AllDataCenters))
 	}
 }
--- a/core/directory/exchange.go
+++ b/core/directory/exchange.go
@@ -56,13 +56,14 @@
 // within a data centre, otherwise that of the answering relay.
 func digestScope(asking, answering string) string {
 	if asking == answering {
-		return AllCenters
+		return AllDataCenters
 	}
 	return answering
 }
 
-// Pulled processes a relay's answer to a Pull. A nil answer means that none came.
-func (r *Relay) Pulled(now time.Duration, host string, resp *apiv1.ExchangeResponse) {
+// HandleExchangeResponse processes a relay's answer to a Pull. A nil answer means
+// that none came.
+func (r *Relay) HandleExchangeResponse(now time.Duration, host string, resp *apiv1.ExchangeResponse) {
 	p := r.peers[host]
 	if p == nil || resp == nil {
 		return
@@ -83,7 +84,7 @@
 func (r *Relay) planPulls(now time.Duration, work *Work) {
 	interval := pullInterval
 	if !r.Ready(now) {
-		interval = SettleInterval
+		interval = StartupInterval
 	}
 	if now-r.lastPull < interval {
 		return
@@ -135,13 +136,13 @@
 	return order[int(now/HeartbeatInterval)%len(order)]
 }
 
-// PullSoon makes the next tick pull from other relays, for relays that have just
+// TriggerPull makes the next tick pull from other relays, for relays that have just
 // appeared.
-func (r *Relay) PullSoon() { r.lastPull -= pullInterval }
+func (r *Relay) TriggerPull() { r.lastPull -= pullInterval }
 
-// PullAgain returns the next pull from a relay whose last answer contained changes;
+// NextPull returns the next pull from a relay whose last answer contained changes;
 // ok is false if the relay is no longer a peer.
-func (r *Relay) PullAgain(host string) (p Pull, ok bool) {
+func (r *Relay) NextPull(host string) (p Pull, ok bool) {
 	target := r.peers[host]
 	if target == nil {
 		return Pull{}, false
--- a/core/directory/relay.go
+++ b/core/directory/relay.go
@@ -34,11 +34,11 @@
 	// maxReadyWait is the longest time that a new relay waits for the others
 	// before it becomes ready.
 	maxReadyWait = 5 * HeartbeatInterval
-	// SettleInterval is the interval of ticks and pulls until the relay is ready.
-	SettleInterval = HeartbeatInterval / 10
+	// StartupInterval is the interval of ticks and pulls until the relay is ready.
+	StartupInterval = HeartbeatInterval / 10
 	// minReadyWait is the shortest time before a relay assumes that its list of
 	// relays is complete: others may start at the same moment.
-	minReadyWait = 3 * SettleInterval
+	minReadyWait = 3 * StartupInterval
 	// siblingPullsPerRound is the number of siblings (other relays of the same
 	// data centre) that a relay pulls from per round, in round-robin order. Changes
 	// reach all siblings within a few rounds; pulling from all of them in every
@@ -88,8 +88,8 @@
 	lastPull     time.Duration
 	lastContact  time.Duration
 
-	// FalseAlarms counts suspicions that a probe or a heartbeat disproved.
-	FalseAlarms uint64
+	// FalseSuspicions counts suspicions that a probe or a heartbeat disproved.
+	FalseSuspicions uint64
 	// Failures counts the entries that this relay marked failed.
 	Failures uint64
 }
@@ -101,14 +101,14 @@
 		tombstones: map[string]time.Duration{}, started: now, lastTick: now, lastPull: now - pullInterval, lastContact: now}
 }
 
-// Knows reports whether a host is in this relay's list of relays.
-func (r *Relay) Knows(host string) bool { return host == r.self.Host || r.peers[host] != nil }
+// HasRelay reports whether a host is in this relay's list of relays.
+func (r *Relay) HasRelay(host string) bool { return host == r.self.Host || r.peers[host] != nil }
 
 // Table returns the table of entries. The caller must not modify it.
 func (r *Relay) Table() *Table { return r.table }
 
-// Watched returns the number of nodes that this relay monitors.
-func (r *Relay) Watched() int { return len(r.watched) }
+// WatchedNodes returns the number of nodes that this relay monitors.
+func (r *Relay) WatchedNodes() int { return len(r.watched) }
 
 // SetRelays replaces the list of relays of all data centres.
 func (r *Relay) SetRelays(list []*apiv1.RelayInfo, now time.Duration) {
@@ -191,7 +191,7 @@
 	if held == nil || held.Incarnation < report.Incarnation || held.Incarnation == report.Incarnation && held.Sequence < report.Sequence {
 		return held, true
 	}
-	if held.Relay == r.self.Host && held.Incarnation == report.Incarnation && !Gone(held) {
+	if held.Relay == r.self.Host && held.Incarnation == report.Incarnation && !IsTombstone(held) {
 		r.recordContact(now, report.Host).report = report
 	}
 	return held, false
@@ -205,7 +205,7 @@
 	if e.DataCenter == r.self.DataCenter {
 		r.localHosts[e.Host] = true
 	}
-	if Gone(e) {
+	if IsTombstone(e) {
 		r.tombstones[e.Host] = now
 		delete(r.watched, e.Host)
 		return
@@ -242,7 +242,7 @@
 		return entries, next, false
 	}
 	r.table.VisitAll(func(e *apiv1.Entry) {
-		if wanted[e.Service] && !Gone(e) {
+		if wanted[e.Service] && !IsTombstone(e) {
 			entries = append(entries, e)
 		}
 	})
--- a/core/directory/simulation_test.go
+++ b/core/directory/simulation_test.go
@@ -158,7 +158,7 @@
 			at = p.Via
 		}
 		if n := s.nodes[p.Host]; n != nil && s.connected(at, p.Host) {
-			r.Probed(s.now, p.Host, n.entry.Incarnation, true)
+			r.HandleProbeResult(s.now, p.Host, n.entry.Incarnation, true)
 		}
 	}
 	for _, p := range work.Pulls {
@@ -167,7 +167,7 @@
 		}
 		resp := s.relays[p.Relay.Host].Exchange(s.now, p.Request)
 		s.exchangedBytes += proto.Size(resp) + proto.Size(p.Request)
-		r.Pulled(s.now, p.Relay.Host, resp)
+		r.HandleExchangeResponse(s.now, p.Relay.Host, resp)
 	}
 }
 
--- a/core/directory/table.go
+++ b/core/directory/table.go
@@ -23,10 +23,10 @@
 	apiv1 "cactuspath/api/cactuspath/v1"
 )
 
-// Newer reports whether entry a supersedes entry b of the same host. At equal
+// Supersedes reports whether entry a supersedes entry b of the same host. At equal
 // (incarnation, sequence), a relay's "failed" takes precedence over the state
 // announced by the node.
-func Newer(a, b *apiv1.Entry) bool {
+func Supersedes(a, b *apiv1.Entry) bool {
 	if b == nil {
 		return true
 	}
@@ -40,9 +40,9 @@
 	return a.State == failed && b.State != failed
 }
 
-// Gone reports whether an entry is a tombstone, kept only so that an older entry
-// of its host cannot return.
-func Gone(e *apiv1.Entry) bool {
+// IsTombstone reports whether an entry is a tombstone, kept only so that an older
+// entry of its host cannot return.
+func IsTombstone(e *apiv1.Entry) bool {
 	return e.State == apiv1.EndpointState_ENDPOINT_STATE_FAILED || e.State == apiv1.EndpointState_ENDPOINT_STATE_DEPARTED
 }
 
@@ -96,7 +96,7 @@
 // whether it did.
 func (t *Table) Merge(e *apiv1.Entry) bool {
 	current := t.rows[e.Host]
-	if current != nil && !Newer(e, current.entry) {
+	if current != nil && !Supersedes(e, current.entry) {
 		return false
 	}
 	if current != nil {
@@ -116,7 +116,7 @@
 // Delete removes a host's entry if it is a tombstone.
 func (t *Table) Delete(host string) {
 	r := t.rows[host]
-	if r == nil || !Gone(r.entry) {
+	if r == nil || !IsTombstone(r.entry) {
 		return
 	}
 	t.xorDigest(r.entry)
@@ -158,15 +158,15 @@
 	}
 }
 
-// AllCenters selects all data centres in Digests.
-const AllCenters = ""
+// AllDataCenters selects all data centres in Digests.
+const AllDataCenters = ""
 
 // Digests returns one digest per bucket over the entries of a data centre, or of
 // all of them. Two tables with equal digests hold the same entries.
 func (t *Table) Digests(dataCenter string) []uint64 {
 	out := make([]uint64, BucketCount)
 	for center, d := range t.digests {
-		if center != dataCenter && dataCenter != AllCenters {
+		if center != dataCenter && dataCenter != AllDataCenters {
 			continue
 		}
 		for i, v := range d {
--- a/core/directory/view.go
+++ b/core/directory/view.go
@@ -60,7 +60,7 @@
 		}
 	}
 	for _, e := range entries {
-		if Newer(e, v.entries[e.Host]) {
+		if Supersedes(e, v.entries[e.Host]) {
 			v.entries[e.Host] = e
 			changed = true
 		}
@@ -74,19 +74,19 @@
 	return changed
 }
 
-// Following reports whether the view follows a relay.
-func (v *View) Following() bool { return v.cursor != nil }
+// FollowsRelay reports whether the view follows a relay.
+func (v *View) FollowsRelay() bool { return v.cursor != nil }
 
-// Provisional merges entries that were not confirmed by a relay, as long as the
-// view follows none. It reports whether anything changed. The first answer of a
+// ApplyProvisional merges entries that were not confirmed by a relay, as long as
+// the view follows none. It reports whether anything changed. The first answer of a
 // relay replaces them.
-func (v *View) Provisional(entries []*apiv1.Entry) bool {
+func (v *View) ApplyProvisional(entries []*apiv1.Entry) bool {
 	if v.cursor != nil {
 		return false
 	}
 	changed := false
 	for _, e := range entries {
-		if Newer(e, v.entries[e.Host]) {
+		if Supersedes(e, v.entries[e.Host]) {
 			v.entries[e.Host] = e
 			changed = true
 		}
@@ -101,7 +101,7 @@
 func (v *View) ByService() map[string][]*apiv1.Entry {
 	out := map[string][]*apiv1.Entry{}
 	for _, e := range v.entries {
-		if !Gone(e) && e.Service != "" {
+		if !IsTombstone(e) && e.Service != "" {
 			out[e.Service] = append(out[e.Service], e)
 		}
 	}
--- a/internal/capacity/slopes_test.go
+++ b/internal/capacity/slopes_test.go
@@ -111,7 +111,7 @@
 		e.Relay = "sibling"
 		resp.Entries = append(resp.Entries, e)
 	}
-	r.Pulled(0, "sibling", resp)
+	r.HandleExchangeResponse(0, "sibling", resp)
 	return r
 }
 
@@ -168,8 +168,8 @@
 			resp.Entries = append(resp.Entries, testEntry(i))
 		}
 	}
-	part.Pulled(0, "sibling", resp)
-	digests := part.Table().Digests(directory.AllCenters)
+	part.HandleExchangeResponse(0, "sibling", resp)
+	digests := part.Table().Digests(directory.AllDataCenters)
 	withDigests := &apiv1.ExchangeRequest{FromHost: "other", FromDataCenter: "dc-00", Cursor: &apiv1.Cursor{Epoch: 99}, Digests: digests}
 	withoutDigests := &apiv1.ExchangeRequest{FromHost: "other", FromDataCenter: "dc-00", Cursor: &apiv1.Cursor{Epoch: 99}}
 	changed := 0
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -74,7 +74,7 @@
 		"directory_known_endpoints":     expvar.Func(func() any { return n.knownEndpoints() }),
 		"directory_acts_as_relay":       expvar.Func(func() any { return n.relay.active() }),
 		"directory_relay_entries":       expvar.Func(func() any { return n.relay.entries() }),
-		"directory_relay_false_alarms":  expvar.Func(func() any { return n.relay.falseAlarms() }),
+		"directory_relay_false_alarms":  expvar.Func(func() any { return n.relay.falseSuspicions() }),
 		"directory_relay_marked_failed": expvar.Func(func() any { return n.relay.failures() }),
 	}
 	if e := n.currentEndpoint(); e != nil {
@@ -120,8 +120,8 @@
 	return relayStat(r, func(s *directory.Relay) int { return s.Table().Len() })
 }
 
-func (r *relay) falseAlarms() uint64 {
-	return relayStat(r, func(s *directory.Relay) uint64 { return s.FalseAlarms })
+func (r *relay) falseSuspicions() uint64 {
+	return relayStat(r, func(s *directory.Relay) uint64 { return s.FalseSuspicions })
 }
 
 func (r *relay) failures() uint64 {
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -14,9 +14,9 @@
 
 const (
 	relayTickInterval = directory.HeartbeatInterval / 2
-	// settleTickInterval is the tick interval while the relay does not know enough to
-	// answer yet: after a full restart all requests wait for that.
-	settleTickInterval = directory.SettleInterval
+	// startupTickInterval is the tick interval while the relay does not know enough
+	// to answer yet: after a full restart all requests wait for that.
+	startupTickInterval = directory.StartupInterval
 )
 
 // relay is the relay role of this node, active if it was chosen. Safe for concurrent
@@ -102,7 +102,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.state != nil && !r.state.Ready(r.now()) {
-		return settleTickInterval, false
+		return startupTickInterval, false
 	}
 	return relayTickInterval, true
 }
--- a/internal/node/relaycontrol.go
+++ b/internal/node/relaycontrol.go
@@ -49,7 +49,7 @@
 	}
 	revision := r.records.Revision()
 	req := &apiv1.RelaySyncRequest{Relay: r.info(), Revision: revision, RelaysDigest: replica.RelaysDigest(r.allRelays)}
-	req.Relay.Nodes = uint32(r.state.Watched())
+	req.Relay.Nodes = uint32(r.state.WatchedNodes())
 	for _, report := range r.state.Reports() {
 		req.Nodes++
 		if report.Revision >= revision {
@@ -77,7 +77,7 @@
 	if !resp.RelaysUnchanged {
 		r.allRelays = resp.Relays
 		r.state.SetRelays(r.allRelays, r.now())
-		r.state.PullSoon()
+		r.state.TriggerPull()
 	}
 	r.relaysWanted += resp.MoreRelays
 	r.confirmed = time.Now()
--- a/internal/node/relaypulls.go
+++ b/internal/node/relaypulls.go
@@ -73,7 +73,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.state != nil && err == nil && resp.Msg.Host == p.Host {
-		r.state.Probed(r.now(), p.Host, resp.Msg.Incarnation, true)
+		r.state.HandleProbeResult(r.now(), p.Host, resp.Msg.Incarnation, true)
 	}
 }
 
@@ -101,11 +101,11 @@
 		return false
 	}
 	before := r.state.Table().Version()
-	r.state.Pulled(r.now(), p.Relay.Host, resp.Msg)
+	r.state.HandleExchangeResponse(r.now(), p.Relay.Host, resp.Msg)
 	if r.state.Table().Version() != before {
 		r.signalChange()
 	}
-	next, ok := r.state.PullAgain(p.Relay.Host)
+	next, ok := r.state.NextPull(p.Relay.Host)
 	p.Request = next.Request
 	return ok && len(resp.Msg.Entries) > 0
 }
--- a/internal/node/relayserver.go
+++ b/internal/node/relayserver.go
@@ -119,7 +119,7 @@
 			r.mu.Unlock()
 			return nil, errNotRelay
 		}
-		if !r.state.Knows(req.FromHost) {
+		if !r.state.HasRelay(req.FromHost) {
 			r.refreshRelayList()
 		}
 		resp, changed := r.state.Exchange(r.now(), req), r.changed
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -189,7 +189,7 @@
 	n := w.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	noRelay := !n.view.Following()
+	noRelay := !n.view.FollowsRelay()
 	hold := watchHold
 	if noRelay {
 		hold = noRelayHold
@@ -319,7 +319,7 @@
 		return
 	}
 	n.mu.Lock()
-	changed := n.view.Provisional(entries)
+	changed := n.view.ApplyProvisional(entries)
 	if changed {
 		n.signalChange()
 	}
--- a/internal/replica/presence.go
+++ b/internal/replica/presence.go
@@ -58,7 +58,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	latest, found := p.entries.latest(e.Host)
-	if found && !directory.Newer(e, latest.entry) {
+	if found && !directory.Supersedes(e, latest.entry) {
 		p.entries.put(e.Host, latest)
 		return
 	}
@@ -79,7 +79,9 @@
 	if cursor.GetProcess() == p.process {
 		after = cursor.GetVersion()
 	}
-	include := func(c versionedEntry) bool { return c.version > after && (after > 0 || !directory.Gone(c.entry)) }
+	include := func(c versionedEntry) bool {
+		return c.version > after && (after > 0 || !directory.IsTombstone(c.entry))
+	}
 	var list []*apiv1.Entry
 	for _, c := range p.entries.list(include) {
 		list = append(list, c.entry)
