--- a/core/consensus/explore_test.go
+++ b/core/consensus/explore_test.go
@@ -82,7 +82,7 @@
 	r.running, r.paused = true, false
 	r.state = &register{outcomes: map[string]bool{}}
 	r.applied = 0
-	restored := Restored{HardState: r.disk.hardState, Snapshot: r.disk.snapshot, Entries: append([]*apiv1.LogEntry(nil), r.disk.entries...), Founders: r.disk.founders}
+	restored := PersistentState{HardState: r.disk.hardState, Snapshot: r.disk.snapshot, Entries: append([]*apiv1.LogEntry(nil), r.disk.entries...), Founders: r.disk.founders}
 	r.raft = New(Config{ID: r.id, ElectionTicks: 10, HeartbeatTicks: 2, Rand: rand.New(rand.NewPCG(x.random.Uint64(), r.id))}, restored)
 	if s := r.disk.snapshot; s != nil {
 		x.restoreState(r, s)
--- a/core/consensus/members.go
+++ b/core/consensus/members.go
@@ -33,7 +33,7 @@
 		return 0, 0, ErrUnknownMember
 	}
 	p := r.progress[id]
-	if p == nil || !p.active || p.match+CatchUpSlack < r.log.lastIndex() || p.match == 0 {
+	if p == nil || !p.active || p.match+MaxPromotionLag < r.log.lastIndex() || p.match == 0 {
 		return 0, 0, ErrNotCaughtUp
 	}
 	member.Learner = false
--- a/core/consensus/raft.go
+++ b/core/consensus/raft.go
@@ -49,9 +49,9 @@
 	maxEntriesPerAppend   = 64
 	maxBytesPerAppend     = 1 << 20
 	maxUncommittedEntries = 4096
-	// CatchUpSlack is the maximum number of log entries by which a learner may
+	// MaxPromotionLag is the maximum number of log entries by which a learner may
 	// lag behind the leader when it is promoted.
-	CatchUpSlack = 64
+	MaxPromotionLag = 64
 	// forcedCampaign, in the Hint of a vote request, marks a leadership transfer
 	// started by the leader: voters grant it although they still hear the leader.
 	forcedCampaign = 1
@@ -67,8 +67,9 @@
 	Rand                          *rand.Rand
 }
 
-// Restored is the persistent state that a replica reads from disk at startup.
-type Restored struct {
+// PersistentState is the persistent state that a replica reads from disk at
+// startup.
+type PersistentState struct {
 	HardState *apiv1.HardState
 	Snapshot  *apiv1.Snapshot
 	Entries   []*apiv1.LogEntry
@@ -134,7 +135,7 @@
 }
 
 // New creates a replica from its persistent state.
-func New(c Config, restored Restored) *Raft {
+func New(c Config, restored PersistentState) *Raft {
 	r := &Raft{id: c.ID, electionTicks: c.ElectionTicks, heartbeatTicks: c.HeartbeatTicks, random: c.Rand}
 	r.baseMembership = cloneMembership(restored.Founders)
 	if s := restored.Snapshot; s != nil {
@@ -168,12 +169,12 @@
 	// Match is the highest log index known to be replicated on each member; set
 	// only on the leader.
 	Match map[uint64]uint64
-	// Silent is the number of ticks since each member last replied; set only on
-	// the leader.
-	Silent map[uint64]int
-	// LeaderSilent is the number of ticks since a follower last received a
+	// TicksSinceReply is the number of ticks since each member last replied; set
+	// only on the leader.
+	TicksSinceReply map[uint64]int
+	// TicksSinceLeader is the number of ticks since a follower last received a
 	// message from its leader.
-	LeaderSilent int
+	TicksSinceLeader int
 	// ConfigCommitted reports whether the latest membership change is committed.
 	ConfigCommitted bool
 }
@@ -193,13 +194,13 @@
 func (r *Raft) Status() Status {
 	s := Status{ID: r.id, Term: r.term, Leader: r.leader, Role: r.role, Commit: r.log.committed, Applied: r.log.applied,
 		LastIndex: r.log.lastIndex(), SnapshotIndex: r.log.snapIndex, Membership: r.membership,
-		LeaderSilent: r.electionElapsed, ConfigCommitted: r.configIndex <= r.log.committed}
+		TicksSinceLeader: r.electionElapsed, ConfigCommitted: r.configIndex <= r.log.committed}
 	if r.role == Leader {
-		s.Match, s.Silent, s.LeaderSilent = map[uint64]uint64{}, map[uint64]int{}, 0
+		s.Match, s.TicksSinceReply, s.TicksSinceLeader = map[uint64]uint64{}, map[uint64]int{}, 0
 		for id, p := range r.progress {
 			s.Match[id] = p.match
 			if id != r.id {
-				s.Silent[id] = p.ticksSinceReply
+				s.TicksSinceReply[id] = p.ticksSinceReply
 			}
 		}
 	}
--- a/core/consensus/raft_test.go
+++ b/core/consensus/raft_test.go
@@ -13,7 +13,7 @@
 	return &apiv1.Membership{Members: []*apiv1.Member{{Id: 1, Name: "a"}, {Id: 2, Name: "b"}, {Id: 3, Name: "c"}}}
 }
 
-func newRaft(id uint64, restored Restored) *Raft {
+func newRaft(id uint64, restored PersistentState) *Raft {
 	return New(Config{ID: id, ElectionTicks: 10, HeartbeatTicks: 2, Rand: rand.New(rand.NewPCG(1, id))}, restored)
 }
 
@@ -51,7 +51,7 @@
 // discarded it, a new leader could lack entry 3 and an accepted change would
 // disappear.
 func TestDelayedSnapshotKeepsAcknowledgedEntries(t *testing.T) {
-	r := newRaft(2, Restored{Founders: threeVoters()})
+	r := newRaft(2, PersistentState{Founders: threeVoters()})
 	entries := []*apiv1.LogEntry{{Term: 1, Index: 1}, {Term: 1, Index: 2}, {Term: 1, Index: 3}}
 	r.Step(&apiv1.RaftMessage{Kind: apiv1.MessageKind_MESSAGE_KIND_APPEND, From: 1, To: 2, Term: 1, Entries: entries})
 	drainReady(r)
@@ -66,7 +66,7 @@
 // step down and fail its pending reads. Otherwise operators who reach it wait for
 // answers that cannot come, or read stale data.
 func TestIsolatedLeaderStepsDownAndFailsReads(t *testing.T) {
-	r := newRaft(1, Restored{Founders: threeVoters()})
+	r := newRaft(1, PersistentState{Founders: threeVoters()})
 	elect(t, r, 2)
 	drainReady(r)
 	r.Step(&apiv1.RaftMessage{Kind: apiv1.MessageKind_MESSAGE_KIND_APPEND_REPLY, From: 2, To: 1, Term: r.term, Index: 1})
@@ -85,7 +85,7 @@
 // healthy. Voters that hear the leader must not reply: the higher term would
 // depose the leader and fail every change in progress.
 func TestReturningReplicaDoesNotDeposeLeader(t *testing.T) {
-	r := newRaft(2, Restored{Founders: threeVoters()})
+	r := newRaft(2, PersistentState{Founders: threeVoters()})
 	r.Step(&apiv1.RaftMessage{Kind: apiv1.MessageKind_MESSAGE_KIND_HEARTBEAT, From: 1, To: 2, Term: 5})
 	drainReady(r)
 	r.Step(&apiv1.RaftMessage{Kind: apiv1.MessageKind_MESSAGE_KIND_PRE_VOTE, From: 3, To: 2, Term: 9, Index: 100, LogTerm: 8})
@@ -98,7 +98,7 @@
 // It must ignore messages for the old ID: it could otherwise vote twice in one
 // term, and two leaders would be elected.
 func TestEmptyDiskDoesNotVoteUnderOldID(t *testing.T) {
-	r := newRaft(77, Restored{})
+	r := newRaft(77, PersistentState{})
 	r.Step(&apiv1.RaftMessage{Kind: apiv1.MessageKind_MESSAGE_KIND_VOTE, From: 1, To: 3, Term: 4, Index: 9, LogTerm: 3})
 	assert.Equal(t, len(drainReady(r)), 0)
 	for range 200 {
@@ -111,7 +111,7 @@
 // It may not know yet how far its predecessor committed, so it must reject the
 // read instead of returning stale data.
 func TestNewLeaderAnswersNoReadBeforeItsFirstCommit(t *testing.T) {
-	r := newRaft(1, Restored{Founders: threeVoters()})
+	r := newRaft(1, PersistentState{Founders: threeVoters()})
 	elect(t, r, 2)
 	drainReady(r)
 	assert.ErrorIs(t, r.Read(1), ErrNotReady)
@@ -121,7 +121,7 @@
 // quorum without being able to commit, and the next failure would block all
 // changes.
 func TestLearnerMustCatchUpBeforePromotion(t *testing.T) {
-	r := newRaft(1, Restored{Founders: &apiv1.Membership{Members: []*apiv1.Member{{Id: 1, Name: "a"}}}})
+	r := newRaft(1, PersistentState{Founders: &apiv1.Membership{Members: []*apiv1.Member{{Id: 1, Name: "a"}}}})
 	for r.Status().Role != Leader {
 		r.Tick()
 	}
@@ -139,7 +139,7 @@
 // Two operators change the membership at the same time. Two uncommitted changes
 // can have majorities that share no replica, so the second must be rejected.
 func TestOneChangeOfMembersAtATime(t *testing.T) {
-	r := newRaft(1, Restored{Founders: threeVoters()})
+	r := newRaft(1, PersistentState{Founders: threeVoters()})
 	elect(t, r, 2)
 	drainReady(r)
 	r.Step(&apiv1.RaftMessage{Kind: apiv1.MessageKind_MESSAGE_KIND_APPEND_REPLY, From: 2, To: 1, Term: r.term, Index: 1})
@@ -153,7 +153,7 @@
 // that is sent and then lost in a crash could be granted again to another
 // candidate.
 func TestReadyOrdersSyncBeforeMessages(t *testing.T) {
-	r := newRaft(2, Restored{Founders: threeVoters()})
+	r := newRaft(2, PersistentState{Founders: threeVoters()})
 	r.Step(&apiv1.RaftMessage{Kind: apiv1.MessageKind_MESSAGE_KIND_VOTE, From: 3, To: 2, Term: 4, Index: 9, LogTerm: 3})
 	rd, ok := r.Ready()
 	assert.Assert(t, ok && rd.MustSync)
@@ -165,7 +165,7 @@
 // committed would be wrong: a replica with an entry of term 3 at that index could
 // win the next election and overwrite it after an operator was told "accepted".
 func TestEntryOfOlderTermIsNotCommittedByCounting(t *testing.T) {
-	r := newRaft(1, Restored{Founders: threeVoters(), HardState: &apiv1.HardState{Term: 3}, Entries: []*apiv1.LogEntry{{Term: 1, Index: 1}, {Term: 2, Index: 2}}})
+	r := newRaft(1, PersistentState{Founders: threeVoters(), HardState: &apiv1.HardState{Term: 3}, Entries: []*apiv1.LogEntry{{Term: 1, Index: 1}, {Term: 2, Index: 2}}})
 	elect(t, r, 2)
 	drainReady(r)
 	r.Step(&apiv1.RaftMessage{Kind: apiv1.MessageKind_MESSAGE_KIND_APPEND_REPLY, From: 2, To: 1, Term: r.term, Index: 2})
@@ -180,7 +180,7 @@
 // yet and must not count towards the quorum, or a crash could lose a committed
 // entry.
 func TestLeaderCountsOnlyItsSyncedEntries(t *testing.T) {
-	r := newRaft(1, Restored{Founders: &apiv1.Membership{Members: []*apiv1.Member{{Id: 1, Name: "a"}}}})
+	r := newRaft(1, PersistentState{Founders: &apiv1.Membership{Members: []*apiv1.Member{{Id: 1, Name: "a"}}}})
 	for r.Status().Role != Leader {
 		r.Tick()
 	}
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -95,7 +95,7 @@
 	if consensus.FindMember(s.Membership, s.ID) == nil {
 		return true
 	}
-	return time.Duration(s.LeaderSilent)*r.options.Tick > 2*silenceTimeout
+	return time.Duration(s.TicksSinceLeader)*r.options.Tick > 2*silenceTimeout
 }
 
 func (r *Replica) requestJoin(ctx context.Context) {
@@ -191,7 +191,7 @@
 	if s.Role != consensus.Leader || !s.ConfigCommitted {
 		return nil
 	}
-	silence := func(m *apiv1.Member) time.Duration { return time.Duration(s.Silent[m.Id]) * tick }
+	silence := func(m *apiv1.Member) time.Duration { return time.Duration(s.TicksSinceReply[m.Id]) * tick }
 	var silentVoter, learner *apiv1.Member
 	for _, m := range s.Membership.GetMembers() {
 		switch {
@@ -225,5 +225,5 @@
 // caughtUp reports whether a learner lacks at most a few entries. The consensus core checks this
 // again on promotion.
 func caughtUp(s consensus.Status, m *apiv1.Member) bool {
-	return s.Match[m.Id] > 0 && s.Match[m.Id]+consensus.CatchUpSlack >= s.LastIndex
+	return s.Match[m.Id] > 0 && s.Match[m.Id]+consensus.MaxPromotionLag >= s.LastIndex
 }
--- a/internal/replica/group_test.go
+++ b/internal/replica/group_test.go
@@ -17,7 +17,7 @@
 // newLeaderStatus returns the status of member 1 as the leader of a group with the given members.
 func newLeaderStatus(members ...*apiv1.Member) consensus.Status {
 	return consensus.Status{ID: 1, Role: consensus.Leader, ConfigCommitted: true, LastIndex: 10, Membership: &apiv1.Membership{Members: members},
-		Match: map[uint64]uint64{}, Silent: map[uint64]int{}}
+		Match: map[uint64]uint64{}, TicksSinceReply: map[uint64]int{}}
 }
 
 func voters(ids ...uint64) []*apiv1.Member {
@@ -55,22 +55,22 @@
 		}, nil, nil},
 		{"learner replaces a silent voter", func() consensus.Status {
 			s := newLeaderStatus(append(voters(1, 2, 3, 4, 5), learner(6))...)
-			s.Match[6], s.Silent[3] = 10, ticks(2*time.Second)
+			s.Match[6], s.TicksSinceReply[3] = 10, ticks(2*time.Second)
 			return s
 		}, nil, &memberChange{action: promote, member: learner(6)}},
 		{"replaced silent voter is removed", func() consensus.Status {
 			s := newLeaderStatus(voters(1, 2, 3, 4, 5, 6)...)
-			s.Silent[3] = ticks(2 * time.Second)
+			s.TicksSinceReply[3] = ticks(2 * time.Second)
 			return s
 		}, nil, &memberChange{action: remove, member: voters(3)[0]}},
 		{"of two silent voters, the one with the longer silence is removed", func() consensus.Status {
 			s := newLeaderStatus(voters(1, 2, 3, 4, 5, 6)...)
-			s.Silent[3], s.Silent[4] = ticks(2*time.Second), ticks(3*time.Second)
+			s.TicksSinceReply[3], s.TicksSinceReply[4] = ticks(2*time.Second), ticks(3*time.Second)
 			return s
 		}, nil, &memberChange{action: remove, member: voters(4)[0]}},
 		{"silent voter stays if there is no replacement", func() consensus.Status {
 			s := newLeaderStatus(voters(1, 2, 3, 4, 5)...)
-			s.Silent[3] = ticks(time.Minute)
+			s.TicksSinceReply[3] = ticks(time.Minute)
 			return s
 		}, nil, nil},
 		{"no change before the last one is committed", func() consensus.Status {
@@ -85,7 +85,7 @@
 		}, voters(4), nil},
 		{"learner with a long silence is removed", func() consensus.Status {
 			s := newLeaderStatus(append(voters(1, 2, 3, 4, 5), learner(6))...)
-			s.Silent[6] = ticks(time.Minute)
+			s.TicksSinceReply[6] = ticks(time.Minute)
 			return s
 		}, nil, &memberChange{action: remove, member: learner(6)}},
 	}
--- a/internal/replica/propose_test.go
+++ b/internal/replica/propose_test.go
@@ -27,7 +27,7 @@
 // newRaft returns the consensus state of replica 2 in a group with the given members.
 func newRaft(members ...*apiv1.Member) *consensus.Raft {
 	return consensus.New(consensus.Config{ID: 2, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Rand: rand.New(rand.NewPCG(1, 2))},
-		consensus.Restored{Founders: &apiv1.Membership{Members: members}})
+		consensus.PersistentState{Founders: &apiv1.Membership{Members: members}})
 }
 
 // newTestReplica returns a replica without storage or peers. A goroutine runs the
--- a/internal/replica/watch.go
+++ b/internal/replica/watch.go
@@ -84,7 +84,7 @@
 	if s.Role == consensus.Leader {
 		return false
 	}
-	return s.Leader == 0 || time.Duration(s.LeaderSilent)*r.options.Tick > detachedTimeout
+	return s.Leader == 0 || time.Duration(s.TicksSinceLeader)*r.options.Tick > detachedTimeout
 }
 
 func memberAddresses(m *apiv1.Membership) []string {
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -96,11 +96,11 @@
 }
 
 // Open locks the folder and reads its contents.
-func Open(folder string) (*Log, Identity, consensus.Restored, error) {
+func Open(folder string) (*Log, Identity, consensus.PersistentState, error) {
 	l := &Log{folder: folder}
 	var id Identity
 	if err := l.lockFolder(); err != nil {
-		return nil, id, consensus.Restored{}, err
+		return nil, id, consensus.PersistentState{}, err
 	}
 	id, restored, err := l.load()
 	if err != nil {
@@ -126,9 +126,9 @@
 	return nil
 }
 
-func (l *Log) load() (Identity, consensus.Restored, error) {
+func (l *Log) load() (Identity, consensus.PersistentState, error) {
 	var id Identity
-	var restored consensus.Restored
+	var restored consensus.PersistentState
 	data, err := os.ReadFile(filepath.Join(l.folder, identityName))
 	if errors.Is(err, fs.ErrNotExist) {
 		return id, restored, ErrNoIdentity
@@ -168,7 +168,7 @@
 	return s, nil
 }
 
-func (l *Log) loadEntries(restored *consensus.Restored) error {
+func (l *Log) loadEntries(restored *consensus.PersistentState) error {
 	path := filepath.Join(l.folder, logName)
 	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
