--- a/core/estate/document.go
+++ b/core/estate/document.go
@@ -51,9 +51,9 @@
 	maxRevision = 1 << 53
 
 	// The limits below are exported for adapters that clamp values of other formats.
-	MaxTimeout     = time.Hour
-	MaxConnections = 1_000_000
-	MaxColdRate    = 1_000_000
+	MaxTimeout               = time.Hour
+	MaxConnections           = 1_000_000
+	MaxColdRequestsPerSecond = 1_000_000
 )
 
 // Defaults for fields that a text omits.
@@ -172,7 +172,7 @@
 		"slowStart":    func(n jsonc.Node) { spec.SlowStartMs = readMillis(n, 0, MaxTimeout) },
 		"maxBodyBytes": func(n jsonc.Node) { spec.MaxBodyBytes = n.Uint(0, 1<<50) },
 		"coldRequestsPerSecond": func(n jsonc.Node) {
-			spec.ColdRequestsPerSecond = uint32(n.Uint(1, MaxColdRate))
+			spec.ColdRequestsPerSecond = uint32(n.Uint(1, MaxColdRequestsPerSecond))
 		},
 		"healthPath": func(n jsonc.Node) { spec.HealthPath = readPathPrefix(n) },
 		"maxConnections": func(n jsonc.Node) {
--- a/core/estate/routes.go
+++ b/core/estate/routes.go
@@ -20,12 +20,12 @@
 	maxSharesPerRoute = 1000
 	MaxWeight         = 1_000_000
 	// MaxRouteTimeout is the maximum time that a caller may wait for a response.
-	MaxRouteTimeout = 10 * time.Minute
-	MaxPriority     = 1_000_000
-	MaxRouteTries   = 100
-	MaxHeaderBytes  = 1 << 20
-	MaxBodyBytes    = 1 << 40
-	MaxCallerWait   = 24 * time.Hour
+	MaxRouteTimeout  = 10 * time.Minute
+	MaxPriority      = 1_000_000
+	MaxRouteAttempts = 100
+	MaxHeaderBytes   = 1 << 20
+	MaxBodyBytes     = 1 << 40
+	MaxCallerTimeout = 24 * time.Hour
 )
 
 var routeKinds = map[string]apiv1.RouteKind{
@@ -60,7 +60,7 @@
 		"timeout":     func(n jsonc.Node) { spec.TimeoutMs = readMillis(n, time.Millisecond, MaxRouteTimeout) },
 		"aim":         func(n jsonc.Node) { spec.AimMs = readMillis(n, 0, MaxRouteTimeout) },
 		"priority":    func(n jsonc.Node) { spec.Priority = uint32(n.Uint(0, MaxPriority)) },
-		"maxAttempts": func(n jsonc.Node) { spec.MaxAttempts = uint32(n.Uint(1, MaxRouteTries)) },
+		"maxAttempts": func(n jsonc.Node) { spec.MaxAttempts = uint32(n.Uint(1, MaxRouteAttempts)) },
 		"service": func(n jsonc.Node) {
 			spec.Shares = []*apiv1.RouteShare{{Service: readName(n), Weight: 1}}
 		},
@@ -131,8 +131,8 @@
 	n.Object(map[string]func(jsonc.Node){
 		"maxHeaderBytes": func(n jsonc.Node) { limits.MaxHeaderBytes = uint32(n.Uint(0, MaxHeaderBytes)) },
 		"maxBodyBytes":   func(n jsonc.Node) { limits.MaxBodyBytes = n.Uint(0, MaxBodyBytes) },
-		"headerTimeout":  func(n jsonc.Node) { limits.HeaderTimeoutMs = readMillis(n, 0, MaxCallerWait) },
-		"idleTimeout":    func(n jsonc.Node) { limits.IdleTimeoutMs = readMillis(n, 0, MaxCallerWait) },
+		"headerTimeout":  func(n jsonc.Node) { limits.HeaderTimeoutMs = readMillis(n, 0, MaxCallerTimeout) },
+		"idleTimeout":    func(n jsonc.Node) { limits.IdleTimeoutMs = readMillis(n, 0, MaxCallerTimeout) },
 	})
 	return limits
 }
--- a/core/estate/state.go
+++ b/core/estate/state.go
@@ -188,7 +188,7 @@
 // the same text for the same input.
 func refuse(record *apiv1.AuditRecord, problems ...jsonc.Problem) {
 	record.Outcome = apiv1.Outcome_OUTCOME_REFUSED
-	record.Problems = Problems(problems)
+	record.Problems = ProblemsToProto(problems)
 }
 
 // addAuditRecord appends a record to the audit trail and drops the oldest one above
@@ -243,8 +243,8 @@
 	return h.Sum64()
 }
 
-// Problems converts problems to protocol buffer messages.
-func Problems(problems []jsonc.Problem) []*apiv1.Problem {
+// ProblemsToProto converts problems to protocol buffer messages.
+func ProblemsToProto(problems []jsonc.Problem) []*apiv1.Problem {
 	out := make([]*apiv1.Problem, len(problems))
 	for i, p := range problems {
 		out[i] = &apiv1.Problem{Line: uint32(p.Line), Column: uint32(p.Column), Field: p.Field, Message: p.Message, Remedy: p.Remedy}
--- a/internal/replica/commands.go
+++ b/internal/replica/commands.go
@@ -37,7 +37,7 @@
 func (r *Replica) submit(ctx context.Context, operator Operator, s Submission) (*apiv1.AuditRecord, error) {
 	doc, problems := estate.Parse(s.Text)
 	if len(problems) > 0 {
-		return &apiv1.AuditRecord{Id: s.ID, Operator: operator.Name, What: "submit", Outcome: apiv1.Outcome_OUTCOME_REFUSED, Problems: estate.Problems(problems)}, nil
+		return &apiv1.AuditRecord{Id: s.ID, Operator: operator.Name, What: "submit", Outcome: apiv1.Outcome_OUTCOME_REFUSED, Problems: estate.ProblemsToProto(problems)}, nil
 	}
 	if err := r.authorize(operator, doc.Institution); err != nil {
 		return nil, err
--- a/internal/replica/queries.go
+++ b/internal/replica/queries.go
@@ -20,7 +20,7 @@
 // Check returns the problems of a text. It changes nothing.
 func (q queryService) Check(_ context.Context, req *connect.Request[apiv1.CheckRequest]) (*connect.Response[apiv1.CheckResponse], error) {
 	_, problems := estate.Parse(req.Msg.Text)
-	return connect.NewResponse(&apiv1.CheckResponse{Problems: estate.Problems(problems)}), nil
+	return connect.NewResponse(&apiv1.CheckResponse{Problems: estate.ProblemsToProto(problems)}), nil
 }
 
 // Status summarizes where the newest revision is in force.
