--- a/core/estate/document.go
+++ b/core/estate/document.go
@@ -83,7 +83,7 @@
 
 // Parse parses and validates a text. The Document is nil if there are problems.
 func Parse(text []byte) (*Document, []jsonc.Problem) {
-	reader, root := jsonc.Open(text)
+	reader, root := jsonc.Parse(text)
 	if len(reader.Problems()) > 0 {
 		return nil, reader.Problems()
 	}
--- a/core/jsonc/jsonc.go
+++ b/core/jsonc/jsonc.go
@@ -61,9 +61,9 @@
 	path   string
 }
 
-// Open parses text and returns its root node. If Reader.Problems is not empty,
+// Parse parses text and returns its root node. If Reader.Problems is not empty,
 // the node has no value.
-func Open(text []byte) (*Reader, Node) {
+func Parse(text []byte) (*Reader, Node) {
 	r := &Reader{text: text}
 	if !r.checkLimits() {
 		return r, Node{reader: r}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -142,7 +142,7 @@
 
 // Parse reads and checks settings.
 func Parse(text []byte) (*Settings, []jsonc.Problem) {
-	reader, root := jsonc.Open(text)
+	reader, root := jsonc.Parse(text)
 	if len(reader.Problems()) > 0 {
 		return nil, reader.Problems()
 	}
