--- a/internal/endpoint/ended.go
+++ b/internal/endpoint/ended.go
@@ -243,7 +243,7 @@
 func (e *Endpoint) refuseQuarantined(c quarantine.Content, out *hop.Outgoing, reply hop.Reply, left time.Duration) hop.Reply {
 	e.options.Quarantine.Refused()
 	logs.Decision(true, "Request kept away", "request", out.ID, "attempt", hop.FormatID(reply.ID), "host", e.options.Host, "content", c.Exact, "alike", c.Alike, "for", left)
-	reply.Verdict, reply.Reason, reply.RetryAfter, reply.Everywhere = hop.Refused, gate.Quarantined, left, true
+	reply.Verdict, reply.Reason, reply.RetryAfter, reply.SiblingsFull = hop.Refused, gate.Quarantined, left, true
 	return reply
 }
 
@@ -253,7 +253,7 @@
 	r := &run{attempt: req.ID, content: req.Content}
 	if out.Stream != nil && !r.content.Known() {
 		r.target, r.stream = e.quarantineTarget(out), out.Stream
-		out.Stream.SumUp()
+		out.Stream.EnableDigest()
 	}
 	return r
 }
--- a/internal/endpoint/ended_test.go
+++ b/internal/endpoint/ended_test.go
@@ -232,6 +232,6 @@
 	reply := s.attempt("/fatal")
 	assert.Equal(t, reply.Verdict, hop.Refused)
 	assert.Equal(t, reply.Reason, gate.Quarantined)
-	assert.Assert(t, reply.Everywhere && reply.RetryAfter > 0)
+	assert.Assert(t, reply.SiblingsFull && reply.RetryAfter > 0)
 	assert.Equal(t, s.attempt("/quick").Verdict, hop.Ran)
 }
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -268,7 +268,7 @@
 		reply.Verdict, reply.To = hop.Moved, event.To
 	default:
 		reply.Verdict, reply.Reason = hop.Refused, event.Reason
-		reply.RetryAfter, reply.Everywhere = event.RetryAfter, event.SiblingsFull
+		reply.RetryAfter, reply.SiblingsFull = event.RetryAfter, event.SiblingsFull
 	}
 	return nil, reply
 }
@@ -351,7 +351,7 @@
 }
 
 func gateRequest(now time.Duration, handle gate.Handle, req hop.Request) gate.Request {
-	r := gate.Request{Handle: handle, ID: req.ID, Caller: req.Caller, Deadline: now + req.Timeout, Movable: req.Movable, From: req.From, LargeBody: req.Bulky,
+	r := gate.Request{Handle: handle, ID: req.ID, Caller: req.Caller, Deadline: now + req.Timeout, Movable: req.Movable, From: req.From, LargeBody: req.LargeBody,
 		Class: req.Class, Priority: req.Priority, Repeatable: req.Repeatable}
 	if req.Aim > 0 {
 		r.Aim, r.AimAt = req.Aim, max(1, now+req.AimLeft)
--- a/internal/endpoint/forward.go
+++ b/internal/endpoint/forward.go
@@ -21,20 +21,20 @@
 	pool := e.backend.Load()
 	if pool == nil {
 		e.finish(handle, gate.NeverReached)
-		reply.Verdict = hop.Unreached
+		reply.Verdict = hop.Unreachable
 		return nil, reply
 	}
 	buffered, err := e.bufferBody(out)
 	if err != nil {
 		e.finish(handle, gate.NeverReached)
-		reply.Verdict = hop.Unreached
+		reply.Verdict = hop.Unreachable
 		logs.Decision(true, "Body did not come", "request", out.ID, "attempt", hop.FormatID(reply.ID), "host", e.options.Host, "length", out.Length, "callerGone", ctx.Err() != nil, "err", err)
 		return nil, reply
 	}
 	if buffered != out {
 		out = buffered
 		if event := e.reconsider(ctx, handle); event.Kind != gate.Started {
-			reply.Verdict, reply.Reason, reply.RetryAfter, reply.Everywhere = hop.Refused, event.Reason, event.RetryAfter, event.SiblingsFull
+			reply.Verdict, reply.Reason, reply.RetryAfter, reply.SiblingsFull = hop.Refused, event.Reason, event.RetryAfter, event.SiblingsFull
 			return nil, reply
 		}
 	}
@@ -64,7 +64,7 @@
 	e.dialFailures.Store(0)
 	e.markResponsive()
 	e.observeLoad(resp.Header)
-	if e.options.Dialect.SaysNotRun(resp) {
+	if e.options.Dialect.ReportsNotRun(resp) {
 		reply = e.handleRejection(handle, resp, reply)
 		end()
 		return nil, reply
@@ -119,7 +119,7 @@
 	if out.Stream == nil || out.Length <= 0 || out.Length > maxBuffered {
 		return out, nil
 	}
-	body, err := out.Stream.Fetch(out.Length, out.Deadline)
+	body, err := out.Stream.ReadFull(out.Length, out.Deadline)
 	if err != nil {
 		return out, err
 	}
@@ -152,7 +152,7 @@
 func (e *Endpoint) backendRequest(out *hop.Outgoing, left time.Duration) *hop.Outgoing {
 	request := *out
 	dialect := e.options.Dialect
-	request.Unasked = true
+	request.SkipContinue = true
 	request.Extra = []hop.Field{{Name: dialect.TimeoutField(), Value: strconv.FormatInt(left.Milliseconds(), 10)}, {Name: hop.ServiceHeader}}
 	if instance := e.instance.Load(); dialect.ExpectInstance != "" && instance != nil {
 		request.Extra = append(request.Extra, hop.Field{Name: dialect.ExpectInstance, Value: *instance})
@@ -178,7 +178,7 @@
 	case errors.As(err, &dialErr):
 		e.tracker.remove(handle, false)
 		e.finish(handle, gate.NeverReached)
-		reply.Verdict = hop.Unreached
+		reply.Verdict = hop.Unreachable
 		if ctx.Err() == nil && e.dialFailures.Add(1) == maxDialFailures {
 			e.setDown(true)
 			go e.probe()
@@ -186,11 +186,11 @@
 	case ctx.Err() != nil, serverCtx.Err() != nil:
 		e.tracker.remove(handle, false)
 		e.finish(handle, gate.Abandoned)
-		reply.Verdict = hop.Broke
+		reply.Verdict = hop.ConnectionLost
 	default:
 		e.exchangeBroke(handle)
 		e.finish(handle, gate.Failed)
-		reply.Verdict = hop.Broke
+		reply.Verdict = hop.ConnectionLost
 	}
 	return reply
 }
--- a/internal/endpoint/restart_test.go
+++ b/internal/endpoint/restart_test.go
@@ -32,7 +32,7 @@
 	e.SetRestarted(s.address)
 	select {
 	case reply := <-ended:
-		assert.Equal(t, reply.Verdict, hop.Broke)
+		assert.Equal(t, reply.Verdict, hop.ConnectionLost)
 	case <-time.After(5 * time.Second):
 		t.Fatal("the request still waits for a server process that is gone")
 	}
--- a/internal/endpoint/serve.go
+++ b/internal/endpoint/serve.go
@@ -29,7 +29,7 @@
 		return
 	}
 	bufferLimit := maxBuffered
-	if hop.AsksFirst(r.Header) {
+	if hop.ExpectsContinue(r.Header) {
 		// The sender holds the body back until it is read, which happens only if the
 		// gate lets the request run.
 		bufferLimit = 0
@@ -47,7 +47,7 @@
 		_ = http.NewResponseController(w).EnableFullDuplex()
 	}
 	resp, reply := e.admitAndAttempt(r.Context(), req, out, interim.hint)
-	if resp != nil && bufferLimit == 0 && out.Stream != nil && out.Stream.Lent() {
+	if resp != nil && bufferLimit == 0 && out.Stream != nil && out.Stream.InUse() {
 		// The backend server responds while or before it reads the body. The body's
 		// sender may not have sent 100 Continue yet, and it cannot be sent after the
 		// response header.
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -372,7 +372,7 @@
 		r.Body = io.NopCloser(bytes.NewReader(prefetched))
 		return nil, true
 	}
-	body := newStreamedBody(r.Body, w, hop.AsksFirst(r.Header))
+	body := newStreamedBody(r.Body, w, hop.ExpectsContinue(r.Header))
 	r.Body = body
 	w.body = body
 	return body.finished, true
--- a/internal/hop/conn.go
+++ b/internal/hop/conn.go
@@ -43,8 +43,8 @@
 	// reaper closes connections that were idle for too long; nil if there are no idle ones.
 	reaper *time.Timer
 	closed bool
-	// distance is half of the shortest time in which a connection was opened.
-	distance time.Duration
+	// oneWayDelay is half of the shortest time in which a connection was opened.
+	oneWayDelay time.Duration
 }
 
 // NewPool returns an empty pool; security is nil for plain text.
@@ -204,11 +204,11 @@
 	}
 }
 
-// Distance returns the measured one-way delay, or 0 before the first connection.
-func (p *Pool) Distance() time.Duration {
+// OneWayDelay returns the measured one-way delay, or 0 before the first connection.
+func (p *Pool) OneWayDelay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.distance
+	return p.oneWayDelay
 }
 
 func (p *Pool) dial(ctx context.Context) (*conn, error) {
@@ -235,8 +235,8 @@
 func (p *Pool) recordDistance(oneWay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.distance == 0 || oneWay < p.distance {
-		p.distance = oneWay
+	if p.oneWayDelay == 0 || oneWay < p.oneWayDelay {
+		p.oneWayDelay = oneWay
 	}
 }
 
--- a/internal/hop/dialect.go
+++ b/internal/hop/dialect.go
@@ -51,9 +51,9 @@
 // TimeoutField returns the name of the field with the remaining time.
 func (d *Dialect) TimeoutField() string { return d.timeoutHeader() }
 
-// CleanCaller removes the fields that callers may not set, and sets the calling service.
-// Otherwise a caller could impersonate another service or choose an instance.
-func (d *Dialect) CleanCaller(h http.Header, service string) {
+// SanitizeRequest removes the fields that callers may not set, and sets the calling
+// service. Otherwise a caller could impersonate another service or choose an instance.
+func (d *Dialect) SanitizeRequest(h http.Header, service string) {
 	for _, name := range []string{d.ExpectInstance, d.Instance, d.NotRun, d.Load, d.Cold} {
 		if name != "" {
 			h.Del(name)
@@ -64,8 +64,8 @@
 	}
 }
 
-// SaysNotRun reports whether a response states that the request was not run.
-func (d *Dialect) SaysNotRun(resp *http.Response) bool {
+// ReportsNotRun reports whether a response states that the request was not run.
+func (d *Dialect) ReportsNotRun(resp *http.Response) bool {
 	if d.NotRun == "" {
 		return false
 	}
--- a/internal/hop/exchange.go
+++ b/internal/hop/exchange.go
@@ -27,8 +27,8 @@
 	// Length is negative. It is sent only after the peer requested it (100 Continue).
 	Stream *Body
 	Length int64
-	// Unasked sends a streamed body at once, without waiting for 100 Continue.
-	Unasked bool
+	// SkipContinue sends a streamed body at once, without waiting for 100 Continue.
+	SkipContinue bool
 	// IDField and ID: a response with another ID in this field belongs to an earlier request
 	// and is discarded. If IDField is empty, this is not checked.
 	IDField, ID string
@@ -40,15 +40,15 @@
 	Attempt gate.AttemptID
 }
 
-// AskFirst makes the request wait for 100 Continue before a body that is held in memory is
-// sent. A gate that refuses or moves a request does not need the body, which would still
+// ExpectContinue makes the request wait for 100 Continue before a body that is held in memory
+// is sent. A gate that refuses or moves a request does not need the body, which would still
 // take bandwidth of its host's link and of the links between data centres.
-func (out *Outgoing) AskFirst() {
+func (out *Outgoing) ExpectContinue() {
 	out.Stream, out.Length, out.Buffered = NewBody(bytes.NewReader(out.Buffered), nil), int64(len(out.Buffered)), nil
 }
 
-// AsksFirst reports whether the sender of a request waits for 100 Continue.
-func AsksFirst(h http.Header) bool { return strings.EqualFold(h.Get("Expect"), "100-continue") }
+// ExpectsContinue reports whether the sender of a request waits for 100 Continue.
+func ExpectsContinue(h http.Header) bool { return strings.EqualFold(h.Get("Expect"), "100-continue") }
 
 // Field is one header field.
 type Field struct{ Name, Value string }
@@ -122,7 +122,7 @@
 	if err := x.conn.writer.Flush(); err != nil {
 		return nil, err
 	}
-	if out.Stream != nil && out.Unasked {
+	if out.Stream != nil && out.SkipContinue {
 		x.sendBody(out)
 	}
 	return x.readHead(out)
@@ -237,7 +237,7 @@
 
 // expectField returns the field that makes the peer request the body before it is sent.
 func (out *Outgoing) expectField() string {
-	if out.Unasked {
+	if out.SkipContinue {
 		return ""
 	}
 	return "Expect: 100-continue\r\n"
--- a/internal/hop/header.go
+++ b/internal/hop/header.go
@@ -37,7 +37,7 @@
 
 	requestFields = 14
 	flagMovable   = 1
-	flagBulky     = 2
+	flagLargeBody = 2
 
 	flagRepeatable = 4
 )
@@ -57,9 +57,9 @@
 	Repeatable bool
 	// Revision is the newest configuration revision known to the sender.
 	Revision uint64
-	// From is the data centre where the request began, Bulky marks a large body.
-	From  string
-	Bulky bool
+	// From is the data centre where the request began, LargeBody marks a large body.
+	From      string
+	LargeBody bool
 	// Class is the route's name; requests of one class have similar service demands.
 	Class string
 	// Priority ranks the request; 0 is served first.
@@ -79,8 +79,8 @@
 	if r.Movable {
 		flags |= flagMovable
 	}
-	if r.Bulky {
-		flags |= flagBulky
+	if r.LargeBody {
+		flags |= flagLargeBody
 	}
 	if r.Repeatable {
 		flags |= flagRepeatable
@@ -147,7 +147,7 @@
 		Revision: p.uint(f[5]), Priority: int(p.uint(f[6])), Aim: time.Duration(p.uint(f[7])) * time.Microsecond, AimLeft: p.micros(f[8]),
 		Content: quarantine.Content{Exact: p.key(f[9]), Alike: p.key(f[10])}, Class: p.unescape(f[11]), From: f[12], Caller: f[13]}
 	flags := p.uint(f[4])
-	r.Movable, r.Bulky, r.Repeatable = flags&flagMovable != 0, flags&flagBulky != 0, flags&flagRepeatable != 0
+	r.Movable, r.LargeBody, r.Repeatable = flags&flagMovable != 0, flags&flagLargeBody != 0, flags&flagRepeatable != 0
 	return r, p.err
 }
 
@@ -209,11 +209,12 @@
 	Moved
 	// Restarted means that the node is another incarnation than the one addressed.
 	Restarted
-	// Unreached means that the backend server accepted no connection; the attempt did not run.
-	Unreached
-	// Broke means that the connection to the backend server was lost before the response; the
-	// attempt may have run.
-	Broke
+	// Unreachable means that the backend server accepted no connection; the attempt did not
+	// run.
+	Unreachable
+	// ConnectionLost means that the connection to the backend server was lost before the
+	// response; the attempt may have run.
+	ConnectionLost
 	// Rejected means that the backend server reported that it did not run the request.
 	Rejected
 )
@@ -230,8 +231,8 @@
 	Reason  gate.Reason
 	// RetryAfter is the delay before a retry after a refusal.
 	RetryAfter time.Duration
-	// Everywhere means that the siblings are equally full.
-	Everywhere bool
+	// SiblingsFull means that the siblings are equally full.
+	SiblingsFull bool
 	// To is the sibling's host if the verdict is Moved.
 	To string
 	// Incarnation and Revision are those of the responding node.
@@ -240,9 +241,9 @@
 
 // Encode returns the header's value.
 func (r Reply) Encode() string {
-	everywhere := uint64(0)
-	if r.Everywhere {
-		everywhere = 1
+	siblingsFull := uint64(0)
+	if r.SiblingsFull {
+		siblingsFull = 1
 	}
 	b := make([]byte, 0, 128)
 	b = append(b, version+separator...)
@@ -250,7 +251,7 @@
 	b = appendField(b, uint64(r.Verdict))
 	b = appendField(b, uint64(r.Reason))
 	b = appendField(b, uint64(max(0, r.RetryAfter.Milliseconds())))
-	b = appendField(b, everywhere)
+	b = appendField(b, siblingsFull)
 	b = appendField(b, r.Incarnation)
 	b = appendField(b, r.Revision)
 	b = append(b, separator...)
@@ -266,7 +267,7 @@
 	}
 	p := parser{}
 	r := Reply{ID: p.id(f[1]), Verdict: Verdict(p.uint(f[2])), Reason: gate.Reason(p.uint(f[3])),
-		RetryAfter: time.Duration(p.uint(f[4])) * time.Millisecond, Everywhere: f[5] == "1",
+		RetryAfter: time.Duration(p.uint(f[4])) * time.Millisecond, SiblingsFull: f[5] == "1",
 		Incarnation: p.uint(f[6]), Revision: p.uint(f[7]), To: f[8]}
 	return r, p.err
 }
--- a/internal/hop/hop_test.go
+++ b/internal/hop/hop_test.go
@@ -52,7 +52,7 @@
 	got, err := ParseRequest(req.Encode())
 	assert.NilError(t, err)
 	assert.Equal(t, got, req)
-	reply := Reply{ID: req.ID, Verdict: Moved, Reason: gate.QueueFull, RetryAfter: 20 * time.Millisecond, Everywhere: true, To: "host-9", Incarnation: 5, Revision: 8}
+	reply := Reply{ID: req.ID, Verdict: Moved, Reason: gate.QueueFull, RetryAfter: 20 * time.Millisecond, SiblingsFull: true, To: "host-9", Incarnation: 5, Revision: 8}
 	back, err := ParseReply(reply.Encode())
 	assert.NilError(t, err)
 	assert.Equal(t, back, reply)
--- a/internal/hop/relay.go
+++ b/internal/hop/relay.go
@@ -41,19 +41,19 @@
 
 var copyBuffers = sync.Pool{New: func() any { b := make([]byte, copyBufferSize); return &b }}
 
-// CutShortError means that a response ended prematurely. The receiver must see a broken
-// connection and never a body that looks complete.
-type CutShortError struct{ Err error }
+// TruncatedResponseError means that a response ended prematurely. The receiver must see a
+// broken connection and never a body that looks complete.
+type TruncatedResponseError struct{ Err error }
 
 // Error returns the cause.
-func (e *CutShortError) Error() string { return "the answer was cut short: " + e.Err.Error() }
+func (e *TruncatedResponseError) Error() string { return "the answer was cut short: " + e.Err.Error() }
 
 // Unwrap returns the cause.
-func (e *CutShortError) Unwrap() error { return e.Err }
+func (e *TruncatedResponseError) Unwrap() error { return e.Err }
 
-// Relay writes a response's head, body and trailers to w and closes the body. The error is
-// a *CutShortError if the response ended prematurely; the caller must then abort its own
-// response.
+// Relay writes a response's head, body and trailers to w and closes the body. The error is a
+// *TruncatedResponseError if the response ended prematurely; the caller must then abort its
+// own response.
 func Relay(w http.ResponseWriter, resp *http.Response, extra ...Field) error {
 	defer resp.Body.Close()
 	CleanHeader(resp.Header)
@@ -111,7 +111,7 @@
 			return nil
 		}
 		if err != nil {
-			return &CutShortError{err}
+			return &TruncatedResponseError{err}
 		}
 	}
 }
--- a/internal/hop/upload.go
+++ b/internal/hop/upload.go
@@ -50,8 +50,8 @@
 	return &Body{source: source, setReadDeadline: setReadDeadline}
 }
 
-// Whole reports whether no byte of the body was read, so that another attempt may send it.
-func (b *Body) Whole() bool {
+// Unread reports whether no byte of the body was read, so that another attempt may send it.
+func (b *Body) Unread() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return !b.readStarted
@@ -64,8 +64,8 @@
 	return b.ended
 }
 
-// Lent reports whether an exchange in progress has requested the body.
-func (b *Body) Lent() bool {
+// InUse reports whether an exchange in progress has requested the body.
+func (b *Body) InUse() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.owner != nil
@@ -127,14 +127,14 @@
 // Read returns the error.
 func (r errReader) Read([]byte) (int, error) { return 0, r.err }
 
-// SumUp enables hashing the body as it is read.
-func (b *Body) SumUp() {
+// EnableDigest enables hashing the body as it is read.
+func (b *Body) EnableDigest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.digest = quarantine.NewBodyDigest()
 }
 
-// Sum returns the hash of the body, if SumUp was called and enough of it was read.
+// Sum returns the hash of the body, if EnableDigest was called and enough of it was read.
 func (b *Body) Sum() (sum quarantine.BodySum, known bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -157,8 +157,8 @@
 	}
 }
 
-// Fetch reads a whole body of the given length, until the given time at the latest.
-func (b *Body) Fetch(length int64, until time.Time) ([]byte, error) {
+// ReadFull reads a whole body of the given length, until the given time at the latest.
+func (b *Body) ReadFull(length int64, until time.Time) ([]byte, error) {
 	reader := &sender{}
 	b.setOwner(reader)
 	defer b.setOwner(nil)
--- a/internal/hop/upload_test.go
+++ b/internal/hop/upload_test.go
@@ -106,7 +106,7 @@
 		resp, err := p.Do(context.Background(), &Outgoing{Method: "POST", URI: "/", Host: "h", Stream: body, Length: 200_000, Deadline: farDeadline()})
 		assert.NilError(t, err)
 		assert.Equal(t, read(t, resp), "")
-		if !body.Whole() {
+		if !body.Unread() {
 			continue
 		}
 		late++
@@ -136,7 +136,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, read(t, resp), "")
 	assert.Equal(t, source.reading.Load(), int32(0), "the sender is still running after its exchange")
-	assert.Assert(t, !body.Whole())
+	assert.Assert(t, !body.Unread())
 	assert.Equal(t, got.Load(), int64(0))
 }
 
@@ -218,7 +218,7 @@
 	assert.Equal(t, n, 0)
 	assert.Assert(t, errors.Is(err, errExchangeEnded))
 	assert.Equal(t, s.dropped, int64(5))
-	assert.Assert(t, !body.Whole())
+	assert.Assert(t, !body.Unread())
 }
 
 // The first attempt's sender may be at any point when the next attempt begins. However the reads
@@ -239,7 +239,7 @@
 			runtime.Gosched()
 		}
 		assert.NilError(t, body.removeOwner(first))
-		if !body.Whole() {
+		if !body.Unread() {
 			<-started
 			continue
 		}
@@ -376,7 +376,7 @@
 	} {
 		t.Run(c.desc, func(t *testing.T) {
 			b := NewBody(c.source, nil)
-			b.SumUp()
+			b.EnableDigest()
 			b.ReadAhead(c.ahead, farDeadline())
 			reader := &sender{}
 			b.setOwner(reader)
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -205,7 +205,7 @@
 	logs.Decision(false, "Attempt", "request", c.requestID(), "attempt", hop.FormatID(a.id), "service", c.s.name, "content", c.content.Exact, "to", to.Host, "near", to.Near,
 		"outstanding", to.Outstanding, "left", timeout, "movable", c.movable(), "tried", c.tried, "revision", c.h.options.Revision())
 	req := hop.Request{ID: a.id, Incarnation: a.incarnation, Timeout: timeout, Movable: c.movable(), Revision: c.h.options.Revision(), Caller: c.caller, Content: c.content,
-		From: c.h.options.DataCenter, Repeatable: onHint != nil, Bulky: c.out.Stream != nil || len(c.out.Buffered) >= largeBodyBytes}
+		From: c.h.options.DataCenter, Repeatable: onHint != nil, LargeBody: c.out.Stream != nil || len(c.out.Buffered) >= largeBodyBytes}
 	c.applyRoute(&req, a.sent)
 	out := c.outgoing(a.id)
 	if to.Host == c.h.options.Host {
@@ -239,7 +239,7 @@
 
 // resendable reports whether the request can be sent again. It cannot once a part of a
 // streamed body was read.
-func (c *call) resendable() bool { return c.out.Stream == nil || c.out.Stream.Whole() }
+func (c *call) resendable() bool { return c.out.Stream == nil || c.out.Stream.Unread() }
 
 // outgoing returns a copy of the request for one attempt.
 func (c *call) outgoing(id gate.AttemptID) *hop.Outgoing {
@@ -262,7 +262,7 @@
 		}
 	}
 	if len(out.Buffered) >= largeBodyBytes && !c.h.isDisabled(mechanism.AskFirst) {
-		out.AskFirst()
+		out.ExpectContinue()
 	}
 	endWatch := c.h.watchAttempt(&a)
 	resp, err := c.h.peer(a.to.PeerAddress).Do(a.ctx, out)
@@ -322,7 +322,7 @@
 func (c *call) deliver(resp *http.Response) {
 	c.h.options.Counters.Answered.Add(1)
 	status := resp.StatusCode
-	if c.awaitsContinue && c.out.Stream != nil && c.out.Stream.Lent() {
+	if c.awaitsContinue && c.out.Stream != nil && c.out.Stream.InUse() {
 		// The server responds before it has received the body. The goroutine that sends
 		// the body may not have requested it from the caller yet, and 100 Continue cannot
 		// follow the response head: a server that responds while it reads would wait for
@@ -332,7 +332,7 @@
 	err := hop.Relay(c.w, resp)
 	logs.Decision(status >= http.StatusInternalServerError || err != nil, "Answered", "request", c.requestID(), "service", c.s.name, "route", c.routeName(),
 		"status", status, "attempts", c.attempts, "took", time.Since(c.arrived), "left", time.Until(c.deadline), "err", err)
-	var cutShort *hop.CutShortError
+	var cutShort *hop.TruncatedResponseError
 	if errors.As(err, &cutShort) {
 		c.h.options.Counters.CutShort.Add(1)
 		// Abort the connection so that the caller does not take a truncated response for
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -206,7 +206,7 @@
 	if p == nil {
 		return 0
 	}
-	return p.Distance()
+	return p.OneWayDelay()
 }
 
 // maxDiscoveryTimeout bounds the wait for the endpoints of a service that this node does
@@ -296,13 +296,13 @@
 		}
 		r.Body = http.MaxBytesReader(w, r.Body, int64(spec.MaxBodyBytes))
 	}
-	awaitsContinue := hop.AsksFirst(r.Header)
+	awaitsContinue := hop.ExpectsContinue(r.Header)
 	out, err := endpoint.Outgoing(w, r, dialect, timeout)
 	if err != nil {
 		h.writeFault(w, r, Fault{Fault: fault.Malformed, Message: "the body could not be read: " + err.Error() + "; send as many bytes as Content-Length says"}, 0)
 		return
 	}
-	dialect.CleanCaller(out.Header, h.callerService())
+	dialect.SanitizeRequest(out.Header, h.callerService())
 	if out.Stream != nil {
 		_ = http.NewResponseController(w).EnableFullDuplex()
 	}
--- a/internal/proxy/moves_test.go
+++ b/internal/proxy/moves_test.go
@@ -92,7 +92,7 @@
 // refusal the request must be sent as not movable.
 func TestRefusedRequestIsNotMovedBack(t *testing.T) {
 	unreachable := newFakeNode(t, func(w http.ResponseWriter, _ *http.Request, req hop.Request) {
-		writeReply(w, req, hop.Reply{Verdict: hop.Unreached})
+		writeReply(w, req, hop.Reply{Verdict: hop.Unreachable})
 	})
 	moving := newFakeNode(t, func(w http.ResponseWriter, r *http.Request, req hop.Request) {
 		if req.Movable {
--- a/internal/proxy/outcome.go
+++ b/internal/proxy/outcome.go
@@ -32,7 +32,7 @@
 	}
 	// A gate whose backend server is down does reply, but counts as not reached so that it
 	// is avoided: trying it for each request would exhaust the retry budget.
-	c.s.done(c.h.now(), a.to, reply.Verdict != hop.Unreached && reply.Reason != gate.Down)
+	c.s.done(c.h.now(), a.to, reply.Verdict != hop.Unreachable && reply.Reason != gate.Down)
 	r.ended = c.classifyReply(a, reply)
 	return r
 }
@@ -57,11 +57,11 @@
 	case hop.Restarted:
 		c.s.setIncarnation(a.to, reply.Incarnation)
 		return retry.Restarted
-	case hop.Broke:
+	case hop.ConnectionLost:
 		return retry.Lost
 	case hop.Rejected:
 		return retry.Rejected
-	case hop.Unreached:
+	case hop.Unreachable:
 		return retry.Unreachable
 	}
 	switch reply.Reason {
@@ -78,7 +78,7 @@
 	case gate.QueueFull, gate.TooLate, gate.Overloaded:
 		c.s.setCrowded(c.h.now(), a.to)
 	}
-	if reply.Everywhere {
+	if reply.SiblingsFull {
 		return retry.NotRunAnywhere
 	}
 	return retry.NotRun
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -81,7 +81,7 @@
 // and the retry time after a single attempt.
 func TestFullServiceIsReportedAfterOneAttempt(t *testing.T) {
 	full := func(w http.ResponseWriter, _ *http.Request, req hop.Request) {
-		writeReply(w, req, hop.Reply{Verdict: hop.Refused, Reason: gate.QueueFull, Everywhere: true, RetryAfter: 1500 * time.Millisecond})
+		writeReply(w, req, hop.Reply{Verdict: hop.Refused, Reason: gate.QueueFull, SiblingsFull: true, RetryAfter: 1500 * time.Millisecond})
 	}
 	a, b := newFakeNode(t, full), newFakeNode(t, full)
 	resp, text := send(t, startProxy(t, gate.RevokeUnknown, a, b), "POST", "/", "x")
