--- a/internal/endpoint/ended.go
+++ b/internal/endpoint/ended.go
@@ -235,7 +235,7 @@
 		out.Stream.ReadAhead(quarantine.PrefixBytes+1, out.Deadline)
 		*r = r.withContent()
 	}
-	return e.options.Quarantine.Barred(r.content)
+	return e.options.Quarantine.QuarantinedFor(r.content)
 }
 
 // refuseQuarantined refuses a quarantined request. All other servers would refuse it as
--- a/internal/endpoint/ended_test.go
+++ b/internal/endpoint/ended_test.go
@@ -113,18 +113,18 @@
 // crashFixture is an endpoint with a crashingServer.
 type crashFixture struct {
 	*crashingServer
-	endpoint *Endpoint
-	keeper   *quarantine.Keeper
-	counters *quarantine.Counters
-	attempts uint32
-	callers  sync.WaitGroup
+	endpoint   *Endpoint
+	quarantine *quarantine.Tracker
+	counters   *quarantine.Counters
+	attempts   uint32
+	callers    sync.WaitGroup
 }
 
 func newCrashFixture(t *testing.T) *crashFixture {
 	s := &crashFixture{crashingServer: startCrashingServer(t), counters: &quarantine.Counters{}}
-	s.keeper = quarantine.New(quarantine.Options{Host: "h", Send: func(string, []byte) {}, Counters: s.counters})
+	s.quarantine = quarantine.New(quarantine.Options{Host: "h", Send: func(string, []byte) {}, Counters: s.counters})
 	s.endpoint = New(Options{Host: "h", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, Heard: func(uint64) {}, Send: func(string, gate.Report) {},
-		Counters: NewCounters(), Quarantine: s.keeper}, gate.Config{Slots: 4, Queue: 4})
+		Counters: NewCounters(), Quarantine: s.quarantine}, gate.Config{Slots: 4, Queue: 4})
 	s.endpoint.SetOtherServer("first", s.address)
 	t.Cleanup(func() { s.crash(); s.callers.Wait(); s.endpoint.Close() })
 	return s
@@ -213,8 +213,8 @@
 	s.startAttempt("/other")
 	s.crash()
 	eventually(t, "the third exit is detected", func() bool { return s.exits() == 3 })
-	assert.Equal(t, s.keeper.Barred(contentOf("/left")), time.Duration(0))
-	assert.Equal(t, s.keeper.Barred(contentOf("/other")), time.Duration(0))
+	assert.Equal(t, s.quarantine.QuarantinedFor(contentOf("/left")), time.Duration(0))
+	assert.Equal(t, s.quarantine.QuarantinedFor(contentOf("/other")), time.Duration(0))
 }
 
 // A server exits three times under one request, while another request completes in
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -41,7 +41,7 @@
 	Dialect *hop.Dialect
 	// Quarantine decides which requests are refused because servers exited under them;
 	// nil refuses none.
-	Quarantine *quarantine.Keeper
+	Quarantine *quarantine.Tracker
 	// Overload refuses requests of other nodes while this process is short of processor
 	// time; nil refuses none.
 	Overload *overload.Monitor
@@ -252,7 +252,7 @@
 		return nil, reply
 	}
 	arrived := time.Now()
-	if left := e.options.Quarantine.Barred(req.Content); left > 0 {
+	if left := e.options.Quarantine.QuarantinedFor(req.Content); left > 0 {
 		return nil, e.refuseQuarantined(req.Content, out, reply, left)
 	}
 	e.refreshLoad(ctx)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -74,7 +74,7 @@
 	peers    *peerClients
 	reports  *reports
 	// quarantine keeps requests that repeatedly crash servers away from the servers.
-	quarantine *quarantine.Keeper
+	quarantine *quarantine.Tracker
 	// overload refuses requests while this process lacks processor time.
 	overload *overload.Monitor
 	watcher  *watcher
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -22,8 +22,8 @@
 )
 
 // reports carries load reports between gates, one datagram each, and the messages with
-// which nodes tell each other of servers that ended. A lost message is made up for by
-// the next. Safe for concurrent use.
+// which nodes tell each other of servers that crashed. A lost message is made up for
+// by the next. Safe for concurrent use.
 type reports struct {
 	n *Node
 
@@ -61,7 +61,7 @@
 	return r.addresses[host]
 }
 
-// sendQuarantine sends another node a message about servers that ended.
+// sendQuarantine sends another node a message about servers that crashed.
 func (r *reports) sendQuarantine(host string, datagram []byte) {
 	if address := r.addressOf(host); address != nil {
 		// A lost message is made up for by a later comparison.
@@ -96,7 +96,7 @@
 		if err != nil {
 			return
 		}
-		if size > 0 && buffer[0] == quarantine.Mark {
+		if size > 0 && buffer[0] == quarantine.DatagramMarker {
 			r.n.quarantine.Receive(buffer[:size])
 			continue
 		}
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -250,10 +250,10 @@
 	}
 }
 
-// exchangeQuarantine exchanges information about servers that ended with the control
+// exchangeQuarantine exchanges information about servers that crashed with the control
 // replicas.
 func (n *Node) exchangeQuarantine(ctx context.Context) {
-	n.quarantine.Converse(ctx, func() quarantine.Ask {
+	n.quarantine.RunControlExchange(ctx, func() quarantine.SendFunc {
 		addresses := n.watcher.addresses()
 		if len(addresses) == 0 {
 			return nil
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -105,7 +105,7 @@
 	c.tried = c.triedBuf[:0]
 	to := c.s.pick(c.h.now(), c.tried)
 	for {
-		if remaining := c.h.options.Quarantine.Barred(c.content); remaining > 0 {
+		if remaining := c.h.options.Quarantine.QuarantinedFor(c.content); remaining > 0 {
 			c.refuseQuarantined(to, remaining)
 			return
 		}
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -59,7 +59,7 @@
 	Revision func() uint64
 	// Quarantine decides which requests are withheld from backend servers; nil withholds
 	// none.
-	Quarantine *quarantine.Keeper
+	Quarantine *quarantine.Tracker
 	// Overload refuses requests while this process is short of processor time; nil refuses
 	// none.
 	Overload *overload.Monitor
--- a/internal/quarantine/exchange.go
+++ b/internal/quarantine/exchange.go
@@ -8,7 +8,7 @@
 	"cactuspath/core/quarantine"
 )
 
-// Nodes also exchange with control replicas. These keep the ends of backend servers when all
+// Nodes also exchange with control replicas. These keep the crashes of backend servers when all
 // nodes have stopped, and a node that reaches no other node gets the others' through them.
 
 const (
@@ -20,53 +20,53 @@
 	nodesAtFullRate = 256
 	// exchangeTimeout limits one request to a control replica.
 	exchangeTimeout = 500 * time.Millisecond
-	// maxRounds is the number of requests that synchronize two ledgers: a comparison, marks,
-	// and the ends that were requested.
+	// maxRounds is the number of requests that synchronize two ledgers: a comparison, hashes,
+	// and the crashes that were requested.
 	maxRounds = 4
 )
 
-// Ask sends messages to a control replica and returns its messages.
-type Ask func(ctx context.Context, messages []*apiv1.QuarantineNews) ([]*apiv1.QuarantineNews, error)
+// SendFunc sends messages to a control replica and returns its messages.
+type SendFunc func(ctx context.Context, messages []*apiv1.QuarantineNews) ([]*apiv1.QuarantineNews, error)
 
-// Converse exchanges with control replicas until ctx is done, each time with the one that
+// RunControlExchange exchanges with control replicas until ctx is done, each time with the one that
 // choose returns; nil for none.
-func (k *Keeper) Converse(ctx context.Context, choose func() Ask) {
+func (t *Tracker) RunControlExchange(ctx context.Context, choose func() SendFunc) {
 	// The first exchange is immediate: a node that has just started may have to refuse its first
 	// request.
-	for wait, active := time.Duration(0), true; ; wait, active = k.nextExchange() {
+	for wait, active := time.Duration(0), true; ; wait, active = t.nextExchange() {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(wait):
-		case <-k.exchangeNow:
+		case <-t.exchangeNow:
 			active = true
 		}
-		if ask := choose(); active && ask != nil {
-			k.exchange(ctx, ask)
+		if send := choose(); active && send != nil {
+			t.exchange(ctx, send)
 		}
 	}
 }
 
-func (k *Keeper) nextExchange() (wait time.Duration, active bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return exchangeInterval * time.Duration(1+k.gossip.Peers()/nodesAtFullRate), k.gossip.NeedsSync(k.now())
+func (t *Tracker) nextExchange() (wait time.Duration, active bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return exchangeInterval * time.Duration(1+t.gossip.Peers()/nodesAtFullRate), t.gossip.NeedsSync(t.now())
 }
 
 // exchange performs one exchange with one replica. If the replica does not respond, the next
 // exchange, with another replica, makes up for it.
-func (k *Keeper) exchange(ctx context.Context, ask Ask) {
-	k.mu.Lock()
-	messages := []*apiv1.QuarantineNews{toWire(k.options.Host, k.gossip.Compare())}
-	k.mu.Unlock()
+func (t *Tracker) exchange(ctx context.Context, send SendFunc) {
+	t.mu.Lock()
+	messages := []*apiv1.QuarantineNews{toWire(t.options.Host, t.gossip.Compare())}
+	t.mu.Unlock()
 	for range maxRounds {
-		askCtx, cancel := context.WithTimeout(ctx, exchangeTimeout)
-		replies, err := ask(askCtx, messages)
+		sendCtx, cancel := context.WithTimeout(ctx, exchangeTimeout)
+		replies, err := send(sendCtx, messages)
 		cancel()
 		if err != nil {
 			return
 		}
-		if messages = k.Answer(replies); len(messages) == 0 {
+		if messages = t.Answer(replies); len(messages) == 0 {
 			return
 		}
 	}
@@ -74,18 +74,18 @@
 
 // Answer processes messages and returns the replies to their sender; messages for other nodes
 // are sent to these.
-func (k *Keeper) Answer(messages []*apiv1.QuarantineNews) []*apiv1.QuarantineNews {
+func (t *Tracker) Answer(messages []*apiv1.QuarantineNews) []*apiv1.QuarantineNews {
 	var answers []*apiv1.QuarantineNews
 	for _, news := range messages {
 		from, m, err := fromWire(news)
 		if err != nil {
-			k.options.Counters.Malformed.Add(1)
+			t.options.Counters.Malformed.Add(1)
 			continue
 		}
-		k.update(func(now time.Duration) (others []quarantine.Envelope) {
-			for _, p := range k.gossip.Receive(now, from, m) {
+		t.update(func(now time.Duration) (others []quarantine.Envelope) {
+			for _, p := range t.gossip.Receive(now, from, m) {
 				if p.To == from {
-					answers = append(answers, toWire(k.options.Host, p.Message))
+					answers = append(answers, toWire(t.options.Host, p.Message))
 				} else {
 					others = append(others, p)
 				}
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// fileName is the file in a control replica's data folder that holds the known ends of
+	// fileName is the file in a control replica's data folder that holds the known crashes of
 	// backend servers.
 	fileName = "quarantine"
 	// storeInterval is the minimum interval between writes of the file while its content changes.
@@ -25,7 +25,7 @@
 
 // Store writes the ledger to a folder until ctx is done, so that it survives a stop of all
 // processes. If writing to the disk fails, only this protection is lost. Load must be called first.
-func (k *Keeper) Store(ctx context.Context, folder string) {
+func (t *Tracker) Store(ctx context.Context, folder string) {
 	ticker := time.NewTicker(storeInterval)
 	defer ticker.Stop()
 	failing := false
@@ -35,36 +35,36 @@
 			return
 		case <-ticker.C:
 		}
-		k.update(func(now time.Duration) []quarantine.Envelope {
-			k.gossip.Ledger.Tick(now)
+		t.update(func(now time.Duration) []quarantine.Envelope {
+			t.gossip.Ledger.Tick(now)
 			return nil
 		})
-		digest := k.digest()
-		if digest == k.storedDigest {
+		digest := t.digest()
+		if digest == t.storedDigest {
 			continue
 		}
-		if err := k.save(folder); err != nil {
+		if err := t.save(folder); err != nil {
 			if !failing {
-				klog.ErrorS(err, "Quarantine ledger not stored; retrying", "host", k.options.Host, "folder", folder)
+				klog.ErrorS(err, "Quarantine ledger not stored; retrying", "host", t.options.Host, "folder", folder)
 			}
 			failing = true
 			continue
 		}
-		k.storedDigest, failing = digest, false
+		t.storedDigest, failing = digest, false
 	}
 }
 
-func (k *Keeper) digest() uint64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.gossip.Ledger.Digest()
+func (t *Tracker) digest() uint64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.gossip.Ledger.Digest()
 }
 
-func (k *Keeper) save(folder string) error {
-	k.mu.Lock()
-	ends := k.gossip.Ledger.SelectCrashes(k.now(), func(uint64) bool { return true })
-	k.mu.Unlock()
-	held := toWire(k.options.Host, quarantine.Message{News: quarantine.News{Crashes: ends}})
+func (t *Tracker) save(folder string) error {
+	t.mu.Lock()
+	crashes := t.gossip.Ledger.SelectCrashes(t.now(), func(uint64) bool { return true })
+	t.mu.Unlock()
+	held := toWire(t.options.Host, quarantine.Message{News: quarantine.News{Crashes: crashes}})
 	data, err := proto.Marshal(&apiv1.StoredQuarantine{StoredUnixMs: time.Now().UnixMilli(), News: held})
 	if err != nil {
 		return err
@@ -72,9 +72,9 @@
 	return wal.WriteSynced(folder, fileName, data)
 }
 
-// Load reads the ledger from a folder. If the clock was set back since it was stored, the ends
+// Load reads the ledger from a folder. If the clock was set back since it was stored, the crashes
 // keep the age that they had then.
-func (k *Keeper) Load(folder string) error {
+func (t *Tracker) Load(folder string) error {
 	data, err := os.ReadFile(filepath.Join(folder, fileName))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -94,10 +94,10 @@
 	for i := range m.Crashes {
 		m.Crashes[i].Age += time.Duration(since) * time.Millisecond
 	}
-	k.update(func(now time.Duration) []quarantine.Envelope {
-		k.gossip.Ledger.Learn(now, m.News)
+	t.update(func(now time.Duration) []quarantine.Envelope {
+		t.gossip.Ledger.Learn(now, m.News)
 		return nil
 	})
-	k.storedDigest = k.digest()
+	t.storedDigest = t.digest()
 	return nil
 }
--- a/internal/quarantine/store_test.go
+++ b/internal/quarantine/store_test.go
@@ -14,11 +14,12 @@
 	"cactuspath/core/quarantine"
 )
 
-func newKeeper() *Keeper { return New(Options{Host: "h", Counters: &Counters{}}) }
+func newTracker() *Tracker { return New(Options{Host: "h", Counters: &Counters{}}) }
 
-// keeperWithThreeEnds returns a Keeper that recorded three ends of its server during a request.
-func keeperWithThreeEnds(c quarantine.Content) *Keeper {
-	k := newKeeper()
+// trackerWithThreeCrashes returns a Tracker that recorded three crashes of its server during a
+// request.
+func trackerWithThreeCrashes(c quarantine.Content) *Tracker {
+	k := newTracker()
 	for range 3 {
 		k.Ended([]quarantine.Content{c}, nil)
 	}
@@ -26,10 +27,10 @@
 }
 
 // All processes stop at once. When a control replica restarts, it must load its ledger with
-// the ages of the ends.
+// the ages of the crashes.
 func TestStoredLedgerIsLoaded(t *testing.T) {
 	folder, fatal := t.TempDir(), contentOf("/fatal")
-	before := newKeeper()
+	before := newTracker()
 	assert.NilError(t, before.Load(folder), "an empty folder")
 	ctx, cancel := context.WithCancel(t.Context())
 	stored := make(chan struct{})
@@ -48,26 +49,26 @@
 	}
 	cancel()
 	<-stored
-	after := newKeeper()
+	after := newTracker()
 	assert.NilError(t, after.Load(folder))
-	assert.Assert(t, after.Barred(fatal) > 0)
-	assert.Assert(t, after.Barred(fatal) <= before.Barred(fatal)+time.Second)
+	assert.Assert(t, after.QuarantinedFor(fatal) > 0)
+	assert.Assert(t, after.QuarantinedFor(fatal) <= before.QuarantinedFor(fatal)+time.Second)
 }
 
 // The clock was set forward or back between storing and loading.
 func TestLoadAfterClockChange(t *testing.T) {
 	fatal := contentOf("/fatal")
 	for _, c := range []struct {
-		desc   string
-		stored time.Duration
-		barred bool
+		desc        string
+		stored      time.Duration
+		quarantined bool
 	}{
 		{"clock set back", time.Hour, true},
 		{"clock set forward", -time.Hour, false},
 	} {
 		t.Run(c.desc, func(t *testing.T) {
 			folder := t.TempDir()
-			before := keeperWithThreeEnds(fatal)
+			before := trackerWithThreeCrashes(fatal)
 			assert.NilError(t, before.save(folder))
 			file := filepath.Join(folder, fileName)
 			data, err := os.ReadFile(file)
@@ -78,10 +79,10 @@
 			data, err = proto.Marshal(held)
 			assert.NilError(t, err)
 			assert.NilError(t, os.WriteFile(file, data, 0o600))
-			k := newKeeper()
+			k := newTracker()
 			assert.NilError(t, k.Load(folder))
-			assert.Equal(t, k.Barred(fatal) > 0, c.barred)
-			assert.Assert(t, k.Barred(fatal) <= before.Barred(fatal)+time.Second, "quarantined for longer than before")
+			assert.Equal(t, k.QuarantinedFor(fatal) > 0, c.quarantined)
+			assert.Assert(t, k.QuarantinedFor(fatal) <= before.QuarantinedFor(fatal)+time.Second, "quarantined for longer than before")
 		})
 	}
 }
@@ -90,22 +91,22 @@
 func TestUnreadableFileIsIgnored(t *testing.T) {
 	folder := t.TempDir()
 	assert.NilError(t, os.WriteFile(filepath.Join(folder, fileName), []byte{255}, 0o600))
-	k := keeperWithThreeEnds(contentOf("/fatal"))
+	k := trackerWithThreeCrashes(contentOf("/fatal"))
 	assert.ErrorContains(t, k.Load(folder), "will be overwritten")
 	assert.NilError(t, k.save(folder))
-	assert.NilError(t, newKeeper().Load(folder))
+	assert.NilError(t, newTracker().Load(folder))
 }
 
 // A node that reaches no other node must learn through a control replica which requests
-// terminated servers elsewhere.
+// crashed servers elsewhere.
 func TestNodesExchangeThroughControl(t *testing.T) {
 	fatal := contentOf("/fatal")
-	replica, one, two := newKeeper(), keeperWithThreeEnds(fatal), newKeeper()
-	ask := func(_ context.Context, messages []*apiv1.QuarantineNews) ([]*apiv1.QuarantineNews, error) {
+	replica, one, two := newTracker(), trackerWithThreeCrashes(fatal), newTracker()
+	send := func(_ context.Context, messages []*apiv1.QuarantineNews) ([]*apiv1.QuarantineNews, error) {
 		return replica.Answer(messages), nil
 	}
-	one.exchange(t.Context(), ask)
-	assert.Assert(t, replica.Barred(fatal) > 0)
-	two.exchange(t.Context(), ask)
-	assert.Assert(t, two.Barred(fatal) > 0)
+	one.exchange(t.Context(), send)
+	assert.Assert(t, replica.QuarantinedFor(fatal) > 0)
+	two.exchange(t.Context(), send)
+	assert.Assert(t, two.QuarantinedFor(fatal) > 0)
 }
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -32,26 +32,26 @@
 	k := New(Options{Host: "h", Counters: &Counters{}})
 	uneven := encode("x", quarantine.Message{News: quarantine.News{Crashes: []quarantine.Crash{{ID: 1, Contents: []quarantine.Content{contentOf("/a")}}}}})
 	tooOld := encode("x", quarantine.Message{News: quarantine.News{Crashes: []quarantine.Crash{{ID: 1, Age: maxAge + time.Second}}}})
-	for _, bad := range [][]byte{nil, {1}, {Mark, 255}, uneven[:len(uneven)-3], tooOld} {
+	for _, bad := range [][]byte{nil, {1}, {DatagramMarker, 255}, uneven[:len(uneven)-3], tooOld} {
 		k.Receive(bad)
 	}
 	assert.Equal(t, k.options.Counters.Malformed.Value(), int64(5))
 }
 
-// Three servers terminate while running the same request, each at another node. Every node,
-// including one that starts later, must learn of all ends and quarantine the request.
-func TestKeepersExchangeEnds(t *testing.T) {
-	keepers := map[string]*Keeper{}
-	add := func(host string) *Keeper {
+// Three servers crash while running the same request, each at another node. Every node,
+// including one that starts later, must learn of all crashes and quarantine the request.
+func TestTrackersExchangeCrashes(t *testing.T) {
+	trackers := map[string]*Tracker{}
+	add := func(host string) *Tracker {
 		k := New(Options{Host: host, Counters: &Counters{}, Send: func(to string, datagram []byte) {
-			if k := keepers[to]; k != nil {
+			if k := trackers[to]; k != nil {
 				k.Receive(datagram)
 			}
 		}})
-		keepers[host] = k
-		for name, one := range keepers {
+		trackers[host] = k
+		for name, one := range trackers {
 			var others []string
-			for other := range keepers {
+			for other := range trackers {
 				if other != name {
 					others = append(others, other)
 				}
@@ -62,16 +62,16 @@
 	}
 	fatal := contentOf("/fatal")
 	one, two, three := add("a"), add("b"), add("c")
-	for i, k := range []*Keeper{one, two, three} {
-		assert.Equal(t, k.Barred(fatal), time.Duration(0), "before end %d", i+1)
+	for i, k := range []*Tracker{one, two, three} {
+		assert.Equal(t, k.QuarantinedFor(fatal), time.Duration(0), "before end %d", i+1)
 		k.Ended([]quarantine.Content{fatal, contentOf("/other")}, nil)
 		k.Completed(contentOf("/other"))
 	}
 	late := add("d")
 	late.update(func(now time.Duration) []quarantine.Envelope { return late.gossip.Tick(now) })
-	for host, k := range keepers {
-		assert.Assert(t, k.Barred(fatal) > 0, host)
-		assert.Equal(t, k.Barred(contentOf("/other")), time.Duration(0), host)
+	for host, k := range trackers {
+		assert.Assert(t, k.QuarantinedFor(fatal) > 0, host)
+		assert.Equal(t, k.QuarantinedFor(contentOf("/other")), time.Duration(0), host)
 		assert.Equal(t, k.Contents(), 1)
 	}
 }
--- a/internal/quarantine/wire.go
+++ b/internal/quarantine/wire.go
@@ -10,9 +10,9 @@
 	"cactuspath/core/quarantine"
 )
 
-// Mark is the first byte of a datagram for a Keeper. It tells them apart from load reports on
-// the same socket, none of which begins with it.
-const Mark = 0
+// DatagramMarker is the first byte of a datagram for a Tracker. It tells them apart from load
+// reports on the same socket, none of which begins with it.
+const DatagramMarker = 0
 
 var errMalformed = errors.New("malformed quarantine message; both nodes must run the same release")
 
@@ -29,7 +29,7 @@
 // encode encodes a message as a datagram.
 func encode(from string, m quarantine.Message) []byte {
 	// The message contains nothing that cannot be encoded.
-	data, err := proto.MarshalOptions{}.MarshalAppend([]byte{Mark}, toWire(from, m))
+	data, err := proto.MarshalOptions{}.MarshalAppend([]byte{DatagramMarker}, toWire(from, m))
 	if err != nil {
 		panic(err)
 	}
@@ -39,7 +39,7 @@
 // decode decodes a datagram.
 func decode(datagram []byte) (from string, m quarantine.Message, err error) {
 	news := &apiv1.QuarantineNews{}
-	if len(datagram) == 0 || datagram[0] != Mark || proto.Unmarshal(datagram[1:], news) != nil {
+	if len(datagram) == 0 || datagram[0] != DatagramMarker || proto.Unmarshal(datagram[1:], news) != nil {
 		return "", m, errMalformed
 	}
 	return fromWire(news)
@@ -73,17 +73,17 @@
 		if len(e.Exact) != len(e.Alike) {
 			return "", m, errMalformed
 		}
-		end := quarantine.Crash{ID: quarantine.CrashID(e.Id)}
-		if end.Age, err = parseAge(e.AgeMs); err != nil {
+		crash := quarantine.Crash{ID: quarantine.CrashID(e.Id)}
+		if crash.Age, err = parseAge(e.AgeMs); err != nil {
 			return "", m, err
 		}
 		for i := range e.Exact {
-			end.Contents = append(end.Contents, quarantine.Content{Exact: quarantine.Key(e.Exact[i]), Alike: quarantine.Key(e.Alike[i])})
+			crash.Contents = append(crash.Contents, quarantine.Content{Exact: quarantine.Key(e.Exact[i]), Alike: quarantine.Key(e.Alike[i])})
 		}
 		for _, p := range e.Paths {
-			end.Paths = append(end.Paths, quarantine.Key(p))
+			crash.Paths = append(crash.Paths, quarantine.Key(p))
 		}
-		m.Crashes = append(m.Crashes, end)
+		m.Crashes = append(m.Crashes, crash)
 	}
 	for _, c := range news.GetCompletions() {
 		completion := quarantine.Completion{Key: quarantine.Key(c.Key)}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -79,8 +79,8 @@
 	joinLog      joinLogger
 	watchers     watchers
 	presence     *presence
-	// quarantine stores for the nodes what they know about servers that ended.
-	quarantine *quarantine.Keeper
+	// quarantine stores for the nodes what they know about servers that crashed.
+	quarantine *quarantine.Tracker
 }
 
 type pendingProposal struct {
--- a/internal/replica/serve.go
+++ b/internal/replica/serve.go
@@ -55,7 +55,7 @@
 	return connect.NewResponse(c.r.relays.assign(req.Msg)), nil
 }
 
-// Quarantine exchanges the knowledge of a node and this replica about servers that ended.
+// Quarantine exchanges the knowledge of a node and this replica about servers that crashed.
 func (c controlService) Quarantine(_ context.Context, req *connect.Request[apiv1.QuarantineExchange]) (*connect.Response[apiv1.QuarantineExchange], error) {
 	return connect.NewResponse(&apiv1.QuarantineExchange{Messages: c.r.quarantine.Answer(req.Msg.Messages)}), nil
 }
