--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -52,7 +52,7 @@
 	WatchControl bool
 	// Retry limits the second attempts of all nodes; zero means the limits in the
 	// estate.
-	Retry proxy.Shared
+	Retry proxy.SharedRetryBudget
 	// Disabled is the set of decision mechanisms that are switched off.
 	Disabled mechanism.Set
 }
@@ -124,11 +124,11 @@
 	n.watcher = newWatcher(n)
 	n.overload = overload.NewMonitor(options.Host)
 	n.proxy = proxy.New(proxy.Options{
-		Host: options.Host, DataCenter: options.DataCenter, Security: options.Security, Local: n, Need: n.awaitService, Heard: n.observeRevision, Revision: n.Revision, Revoke: n.revoke, Counters: n.calls,
-		Dialect: options.Dialect, CallerService: n.service, Shared: options.Retry, Alive: n.alive, Quarantine: n.quarantine, Overload: n.overload,
+		Host: options.Host, DataCenter: options.DataCenter, Security: options.Security, Local: n, DiscoverService: n.awaitService, ObserveRevision: n.observeRevision, Revision: n.Revision, Revoke: n.revoke, Counters: n.calls,
+		Dialect: options.Dialect, CallerService: n.service, SharedRetryBudget: options.Retry, ProbePeer: n.alive, Quarantine: n.quarantine, Overload: n.overload,
 	})
 	n.disabled = options.Disabled
-	n.proxy.Disable(options.Disabled)
+	n.proxy.SetDisabled(options.Disabled)
 	n.overload.SetDisabled(options.Disabled.Has(mechanism.Shedding))
 	n.front = front.New(n.callers.wrap(n.proxy))
 	return n
@@ -144,7 +144,7 @@
 		return
 	}
 	klog.InfoS("Mechanisms switched", "host", n.options.Host, "disabled", off.Names())
-	n.proxy.Disable(off)
+	n.proxy.SetDisabled(off)
 	n.overload.SetDisabled(off.Has(mechanism.Shedding))
 	n.apply()
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -178,7 +178,7 @@
 		Host: s.Host, DataCenter: s.DataCenter, Region: s.Region, Callers: callers, Peer: peer, Admin: admin, Reports: socket, PeerAddress: peerAddress,
 		Security: p.security, Control: p.client, StopTimeout: s.StopTimeout,
 		Disabled: s.Disabled, Dialect: p.dialect(), Service: n.Service, Backend: n.Backend, WatchControl: n.WatchControl,
-		Retry: proxy.Shared{Ratio: s.Retry.Ratio, Slack: s.Retry.Slack, Window: s.Retry.Window},
+		Retry: proxy.SharedRetryBudget{Ratio: s.Retry.Ratio, Slack: s.Retry.Slack, Window: s.Retry.Window},
 	})
 	return nil
 }
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -26,8 +26,8 @@
 		Send: func(string, gate.Report) {}, Counters: endpoint.NewCounters()}, gate.Config{Slots: 100, Queue: 100})
 	e.SetBackend(backend)
 	peer := startServer(b, http.HandlerFunc(e.ServeHop))
-	h := New(Options{Host: "front", Local: noLocal{}, Counters: NewCounters(), Heard: func(uint64) {}, Revision: func() uint64 { return 1 },
-		Need: func(context.Context, string) error { return nil }})
+	h := New(Options{Host: "front", Local: noLocal{}, Counters: NewCounters(), ObserveRevision: func(uint64) {}, Revision: func() uint64 { return 1 },
+		DiscoverService: func(context.Context, string) error { return nil }})
 	h.Configure([]*apiv1.ServiceRecord{{Name: "pay", Spec: &apiv1.ServiceSpec{Hosts: []string{"pay.example"}, Slots: 100, TimeoutMs: 5000, MaxAttempts: 3}}}, nil)
 	h.Update(map[string][]balancer.Candidate{"pay": {{Host: "a", PeerAddress: peer, Incarnation: 1, Slots: 100}}})
 	for _, target := range []struct{ name, address string }{{"direct", backend}, {"two-nodes", startServer(b, h)}} {
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -27,8 +27,8 @@
 	// lateRevokeTimeout applies instead once the deadline has passed, when the caller
 	// must be answered immediately.
 	lateRevokeTimeout = 50 * time.Millisecond
-	// largeBodyBytes is the body size from which a request is flagged as bulky: sending
-	// it costs more than sending its response.
+	// largeBodyBytes is the body size from which a request is flagged as having a large body:
+	// sending it costs more than sending its response.
 	largeBodyBytes = 16 << 10
 	// defaultRetryAfter is used when no gate supplied an estimate.
 	defaultRetryAfter = 100 * time.Millisecond
@@ -332,9 +332,9 @@
 	err := hop.Relay(c.w, resp)
 	logs.Decision(status >= http.StatusInternalServerError || err != nil, "Answered", "request", c.requestID(), "service", c.s.name, "route", c.routeName(),
 		"status", status, "attempts", c.attempts, "took", time.Since(c.arrived), "left", time.Until(c.deadline), "err", err)
-	var cutShort *hop.TruncatedResponseError
-	if errors.As(err, &cutShort) {
-		c.h.options.Counters.CutShort.Add(1)
+	var truncated *hop.TruncatedResponseError
+	if errors.As(err, &truncated) {
+		c.h.options.Counters.Truncated.Add(1)
 		// Abort the connection so that the caller does not take a truncated response for
 		// a complete one.
 		panic(http.ErrAbortHandler)
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -8,14 +8,15 @@
 
 // Counters holds the metrics of calls, measured on the callers' side.
 type Counters struct {
-	Answered, Retries, Moves, Lost, Canceled, CutShort, Hedges, Silent expvar.Int
-	Faults, Revokes                                                    expvar.Map
+	Answered, Retries, Moves, LostAttempts, Canceled, Truncated, Hedges, SilentPeers expvar.Int
+	Faults, Revokes                                                                  expvar.Map
 
-	// Took records the time from a request's head to the end of its response.
-	Took *latency.Histogram
+	// Latency records the time from a request's head to the end of its
+	// response.
+	Latency *latency.Histogram
 }
 
 // NewCounters returns Counters with all metrics at zero.
 func NewCounters() *Counters {
-	return &Counters{Took: latency.New()}
+	return &Counters{Latency: latency.New()}
 }
--- a/internal/proxy/fakenode_test.go
+++ b/internal/proxy/fakenode_test.go
@@ -83,8 +83,8 @@
 
 // newTestHandler returns a handler with the addresses as endpoints of the service "pay".
 func newTestHandler(revoke gate.RevokeAnswer, addresses ...string) *Handler {
-	h := New(Options{Host: "front", Local: noLocal{}, Counters: NewCounters(), Heard: func(uint64) {}, Revision: func() uint64 { return 1 },
-		Need: func(context.Context, string) error { return nil },
+	h := New(Options{Host: "front", Local: noLocal{}, Counters: NewCounters(), ObserveRevision: func(uint64) {}, Revision: func() uint64 { return 1 },
+		DiscoverService: func(context.Context, string) error { return nil },
 		Revoke: func(context.Context, string, uint64, gate.AttemptID, time.Duration) gate.RevokeAnswer {
 			return revoke
 		}})
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -39,22 +39,22 @@
 	Incarnation uint64
 	Security    *transport.Security
 	Local       Local
-	// Need tells the node that a service is called which it does not fully know. It returns
-	// once the service is known or ctx ends.
-	Need func(ctx context.Context, service string) error
+	// DiscoverService tells the node that a service is called which it does not fully know.
+	// It returns once the service is known or ctx ends.
+	DiscoverService func(ctx context.Context, service string) error
 	// Dialect configures the header names used with callers and backend servers.
 	Dialect *hop.Dialect
 	// CallerService returns the service on this node, on whose behalf its callers send
 	// requests.
 	CallerService func() string
-	// Alive probes the node at an address and reports whether it responded; nil disables
-	// probing.
-	Alive func(ctx context.Context, peerAddress string) bool
-	// Shared is the retry budget shared by all nodes. It replaces the per-service retry
-	// ratio from the configuration unless its window is 0.
-	Shared Shared
-	// Heard is called with the configuration revision reported by another node.
-	Heard func(revision uint64)
+	// ProbePeer probes the node at an address and reports whether it responded; nil
+	// disables probing.
+	ProbePeer func(ctx context.Context, peerAddress string) bool
+	// SharedRetryBudget is the retry budget shared by all nodes. It replaces the
+	// per-service retry ratio from the configuration unless its window is 0.
+	SharedRetryBudget SharedRetryBudget
+	// ObserveRevision is called with the configuration revision reported by another node.
+	ObserveRevision func(revision uint64)
 	// Revision returns the revision of the newest configuration on this node.
 	Revision func() uint64
 	// Quarantine decides which requests are withheld from backend servers; nil withholds
@@ -100,8 +100,8 @@
 	return h
 }
 
-// Disable replaces the set of disabled mechanisms; all others are enabled.
-func (h *Handler) Disable(disabledSet mechanism.Set) {
+// SetDisabled replaces the set of disabled mechanisms; all others are enabled.
+func (h *Handler) SetDisabled(disabledSet mechanism.Set) {
 	h.disabledSet.Store(uint32(disabledSet))
 	h.mu.RLock()
 	defer h.mu.RUnlock()
@@ -152,7 +152,7 @@
 			inUse[c.PeerAddress] = true
 		}
 		s := h.service(name)
-		s.setBudgetShare(h.options.Shared, h.maxNodesSeen)
+		s.setBudgetShare(h.options.SharedRetryBudget, h.maxNodesSeen)
 		s.update(list)
 	}
 	h.closeUnusedPeers(inUse)
@@ -253,11 +253,11 @@
 	s := h.service(name)
 	if s.endpointCount() == 0 {
 		ctx, cancel := context.WithTimeout(r.Context(), discoveryTimeout(target.Route))
-		_ = h.options.Need(ctx, name)
+		_ = h.options.DiscoverService(ctx, name)
 		cancel()
 	}
 	h.serve(w, r, s, target.Route, arrived)
-	h.options.Counters.Took.Observe(time.Since(arrived))
+	h.options.Counters.Latency.Observe(time.Since(arrived))
 }
 
 // refuseOverloaded refuses a request because this process is short of processor time.
--- a/internal/proxy/liveness.go
+++ b/internal/proxy/liveness.go
@@ -43,7 +43,7 @@
 // watchAttempt has the attempt's peer probed if it stays silent. The returned function must
 // be called when the attempt ends.
 func (h *Handler) watchAttempt(a *attempt) (done func(answered bool)) {
-	if h.options.Alive == nil || h.isDisabled(mechanism.Silence) {
+	if h.options.ProbePeer == nil || h.isDisabled(mechanism.Silence) {
 		return func(bool) {}
 	}
 	p := h.pendingFor(a.to.PeerAddress)
@@ -74,7 +74,7 @@
 	p.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	alive := h.options.Alive(ctx, a.to.PeerAddress)
+	alive := h.options.ProbePeer(ctx, a.to.PeerAddress)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.probing = false
@@ -82,7 +82,7 @@
 		p.lastHeard = time.Now()
 		return
 	}
-	h.options.Counters.Silent.Add(1)
+	h.options.Counters.SilentPeers.Add(1)
 	klog.InfoS("Peer silent", "host", a.to.Host, "peer", a.to.PeerAddress, "waiting", len(p.attempts))
 	h.avoid(a.to.Host)
 	for waiting := range p.attempts {
--- a/internal/proxy/liveness_test.go
+++ b/internal/proxy/liveness_test.go
@@ -63,9 +63,9 @@
 	good := httptest.NewServer(http.HandlerFunc(e.ServeHop))
 	defer good.Close()
 	goodAddress, frozenAddress := good.Listener.Addr().String(), listenFrozen(t)
-	h := New(Options{Host: "front", Local: noLocal{}, Counters: NewCounters(), Heard: func(uint64) {}, Revision: func() uint64 { return 1 },
-		Need:  func(context.Context, string) error { return nil },
-		Alive: func(_ context.Context, address string) bool { return address == goodAddress },
+	h := New(Options{Host: "front", Local: noLocal{}, Counters: NewCounters(), ObserveRevision: func(uint64) {}, Revision: func() uint64 { return 1 },
+		DiscoverService: func(context.Context, string) error { return nil },
+		ProbePeer:       func(_ context.Context, address string) bool { return address == goodAddress },
 		Revoke: func(context.Context, string, uint64, gate.AttemptID, time.Duration) gate.RevokeAnswer {
 			return gate.RevokeUnknown
 		}})
--- a/internal/proxy/outcome.go
+++ b/internal/proxy/outcome.go
@@ -23,7 +23,7 @@
 // handleReply updates the endpoint's state from an attempt's reply and returns the
 // attempt's result.
 func (c *call) handleReply(a attempt, resp *http.Response, reply hop.Reply) result {
-	c.h.options.Heard(reply.Revision)
+	c.h.options.ObserveRevision(reply.Revision)
 	r := result{to: a.to, resp: resp, reply: reply, hasReply: true}
 	if resp != nil {
 		resp.Body = &trackedBody{ReadCloser: resp.Body, done: func() { c.s.done(c.h.now(), a.to, true) }}
@@ -52,7 +52,7 @@
 func (c *call) classifyReply(a attempt, reply hop.Reply) retry.Result {
 	switch reply.Verdict {
 	case hop.Moved:
-		c.s.setCrowded(c.h.now(), a.to)
+		c.s.setRecentlyFull(c.h.now(), a.to)
 		return retry.Moved
 	case hop.Restarted:
 		c.s.setIncarnation(a.to, reply.Incarnation)
@@ -76,7 +76,7 @@
 	case gate.Down:
 		return retry.Unreachable
 	case gate.QueueFull, gate.TooLate, gate.Overloaded:
-		c.s.setCrowded(c.h.now(), a.to)
+		c.s.setRecentlyFull(c.h.now(), a.to)
 	}
 	if reply.SiblingsFull {
 		return retry.NotRunAnywhere
@@ -97,7 +97,7 @@
 	if a.ctx.Err() != nil {
 		return retry.Lost
 	}
-	c.h.options.Counters.Lost.Add(1)
+	c.h.options.Counters.LostAttempts.Add(1)
 	timeout := revokeTimeout
 	if time.Now().After(c.deadline) {
 		timeout = lateRevokeTimeout
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -25,7 +25,7 @@
 	// sharedBudget is the retry budget shared by all nodes; zero if the retry ratio from
 	// the configuration applies. lastRefill is when elapsed time was last credited to the
 	// budget.
-	sharedBudget Shared
+	sharedBudget SharedRetryBudget
 	nodeCount    int
 	lastRefill   time.Time
 }
@@ -48,8 +48,8 @@
 	return &selectedEndpoint{Candidate: *c, entry: c}
 }
 
-// Shared configures a retry budget that is shared by all nodes.
-type Shared struct {
+// SharedRetryBudget configures a retry budget that is shared by all nodes.
+type SharedRetryBudget struct {
 	Ratio, Slack float64
 	Window       time.Duration
 }
@@ -80,7 +80,7 @@
 }
 
 // setBudgetShare sets the budget to this node's part of the shared budget.
-func (s *service) setBudgetShare(sharedBudget Shared, nodeCount int) {
+func (s *service) setBudgetShare(sharedBudget SharedRetryBudget, nodeCount int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if sharedBudget.Window == 0 || s.sharedBudget == sharedBudget && s.nodeCount == nodeCount {
@@ -185,7 +185,7 @@
 	s.pool.Avoid(until, host)
 }
 
-func (s *service) setCrowded(now time.Duration, to *selectedEndpoint) {
+func (s *service) setRecentlyFull(now time.Duration, to *selectedEndpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pool.SetRecentlyFull(now, to.entry)
