--- a/internal/endpoint/backend.go
+++ b/internal/endpoint/backend.go
@@ -25,11 +25,11 @@
 	e.setDown(false)
 }
 
-// SetRestarted records that the backend server restarted at its address. Requests sent
-// to its previous process are lost, and their exchanges end now: after a network
+// ServerRestarted records that the backend server restarted at its address. Requests
+// sent to its previous process are lost, and their exchanges end now: after a network
 // partition the old connections may stay open and silent, and would hold their slots
 // until their deadlines.
-func (e *Endpoint) SetRestarted(address string) {
+func (e *Endpoint) ServerRestarted(address string) {
 	e.reportExit(e.tracker.reset())
 	e.SetBackend(address)
 	next, cancel := context.WithCancel(context.Background())
@@ -41,18 +41,18 @@
 	e.runGate(func(now time.Duration) []gate.Event { return e.gate.ServerRestarted(now) })
 }
 
-// Life returns a context that is canceled when the backend server is known to have
-// restarted.
-func (e *Endpoint) Life() context.Context {
+// ServerContext returns a context that is canceled when the backend server is known to
+// have restarted.
+func (e *Endpoint) ServerContext() context.Context {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.serverCtx
 }
 
-// SetOtherServer records that another backend server, or a new process of it, has
+// ReplaceServer records that another backend server, or a new process of it, has
 // replaced the previous one at this address. From now on requests are sent for the
 // given instance, which is empty for a backend server without instances.
-func (e *Endpoint) SetOtherServer(instance, address string) {
+func (e *Endpoint) ReplaceServer(instance, address string) {
 	e.reportExit(e.tracker.reset())
 	e.instance.Store(&instance)
 	e.SetBackend(address)
@@ -79,9 +79,9 @@
 	})
 }
 
-// AssumeStarts makes the gate assume that the previous process of this node has just
-// started requests.
-func (e *Endpoint) AssumeStarts() {
+// AssumeEarlierStarts makes the gate assume that the previous process of this node has
+// just started requests.
+func (e *Endpoint) AssumeEarlierStarts() {
 	e.runGate(func(now time.Duration) []gate.Event {
 		e.gate.AssumeEarlierStarts(now)
 		return nil
--- a/internal/endpoint/body_abort_test.go
+++ b/internal/endpoint/body_abort_test.go
@@ -22,8 +22,8 @@
 	var reached atomic.Int64
 	backend := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { reached.Add(1) }))
 	defer backend.Close()
-	e := New(Options{Host: "a", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, Heard: func(uint64) {}, Counters: NewCounters(),
-		Send: func(string, gate.Report) {}}, gate.Config{Slots: 1, Queue: 1})
+	e := New(Options{Host: "a", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, ObserveRevision: func(uint64) {}, Counters: NewCounters(),
+		SendReport: func(string, gate.Report) {}}, gate.Config{Slots: 1, Queue: 1})
 	defer e.Close()
 	e.SetBackend(backend.Listener.Addr().String())
 	peer := httptest.NewServer(http.HandlerFunc(e.ServeHop))
--- a/internal/endpoint/cold_test.go
+++ b/internal/endpoint/cold_test.go
@@ -68,7 +68,7 @@
 			ms, err := strconv.Atoi(v)
 			return time.Duration(ms) * time.Millisecond, err == nil
 		}}
-	e := New(Options{Host: "h", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, Heard: func(uint64) {}, Send: func(string, gate.Report) {},
+	e := New(Options{Host: "h", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, ObserveRevision: func(uint64) {}, SendReport: func(string, gate.Report) {},
 		Counters: NewCounters(), Dialect: dialect}, gate.Config{Slots: 4, Queue: 8, SlowStart: 2 * time.Second, ColdStarts: coldLimit})
 	t.Cleanup(e.Close)
 	e.SetHealthPath("/health")
--- a/internal/endpoint/early_response_test.go
+++ b/internal/endpoint/early_response_test.go
@@ -30,8 +30,8 @@
 		_, _ = io.WriteString(w, text)
 	}))
 	defer backend.Close()
-	e := New(Options{Host: "a", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, Heard: func(uint64) {}, Counters: NewCounters(),
-		Send: func(string, gate.Report) {}}, gate.Config{Slots: 4, Queue: 4})
+	e := New(Options{Host: "a", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, ObserveRevision: func(uint64) {}, Counters: NewCounters(),
+		SendReport: func(string, gate.Report) {}}, gate.Config{Slots: 4, Queue: 4})
 	defer e.Close()
 	e.SetBackend(backend.Listener.Addr().String())
 	node := httptest.NewServer(http.HandlerFunc(e.ServeHop))
@@ -91,8 +91,8 @@
 			go respondWhileReading(c)
 		}
 	}()
-	e := New(Options{Host: "a", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, Heard: func(uint64) {}, Counters: NewCounters(),
-		Send: func(string, gate.Report) {}}, gate.Config{Slots: 4, Queue: 4})
+	e := New(Options{Host: "a", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, ObserveRevision: func(uint64) {}, Counters: NewCounters(),
+		SendReport: func(string, gate.Report) {}}, gate.Config{Slots: 4, Queue: 4})
 	defer e.Close()
 	e.SetBackend(backend.Addr().String())
 	node := httptest.NewServer(http.HandlerFunc(e.ServeHop))
--- a/internal/endpoint/ended_test.go
+++ b/internal/endpoint/ended_test.go
@@ -123,9 +123,9 @@
 func newCrashFixture(t *testing.T) *crashFixture {
 	s := &crashFixture{crashingServer: startCrashingServer(t), counters: &quarantine.Counters{}}
 	s.quarantine = quarantine.New(quarantine.Options{Host: "h", Send: func(string, []byte) {}, Counters: s.counters})
-	s.endpoint = New(Options{Host: "h", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, Heard: func(uint64) {}, Send: func(string, gate.Report) {},
+	s.endpoint = New(Options{Host: "h", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, ObserveRevision: func(uint64) {}, SendReport: func(string, gate.Report) {},
 		Counters: NewCounters(), Quarantine: s.quarantine}, gate.Config{Slots: 4, Queue: 4})
-	s.endpoint.SetOtherServer("first", s.address)
+	s.endpoint.ReplaceServer("first", s.address)
 	t.Cleanup(func() { s.crash(); s.callers.Wait(); s.endpoint.Close() })
 	return s
 }
@@ -174,15 +174,15 @@
 			s.crash()
 			eventually(s.t, "the exit is detected", func() bool { return s.exits() == 1 })
 			s.listen(s.address)
-			s.endpoint.SetOtherServer("second", s.address)
+			s.endpoint.ReplaceServer("second", s.address)
 		}, 1},
 		{"the server is back before the first check", func(s *crashFixture) {
 			s.resetConns()
 			time.Sleep(exitDetectionTime)
-			s.endpoint.SetOtherServer("second", s.address)
+			s.endpoint.ReplaceServer("second", s.address)
 		}, 1},
-		{"the server vanishes silently and restarts", func(s *crashFixture) { s.endpoint.SetOtherServer("second", s.address) }, 1},
-		{"the server restarts as the same instance", func(s *crashFixture) { s.endpoint.SetRestarted(s.address) }, 1},
+		{"the server vanishes silently and restarts", func(s *crashFixture) { s.endpoint.ReplaceServer("second", s.address) }, 1},
+		{"the server restarts as the same instance", func(s *crashFixture) { s.endpoint.ServerRestarted(s.address) }, 1},
 		{"connections break off while the server is up", func(s *crashFixture) { s.resetConns() }, 0},
 		{"the server exits after a drain", func(s *crashFixture) { s.endpoint.SetDraining(true); s.crash() }, 0},
 	} {
@@ -203,7 +203,7 @@
 func TestRunOfPreviousProcessCountsOnce(t *testing.T) {
 	s := newCrashFixture(t)
 	s.startAttempt("/left")
-	s.endpoint.SetOtherServer("second", s.address)
+	s.endpoint.ReplaceServer("second", s.address)
 	assert.Equal(t, s.exits(), 1)
 	s.resetConns()
 	s.startAttempt("/other")
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -30,17 +30,17 @@
 	Host string
 	// Incarnation returns the incarnation of this node; it is called for each attempt.
 	Incarnation func() uint64
-	// Send sends a report to the gate of a sibling host.
-	Send func(host string, report gate.Report)
-	// Revision returns the newest configuration revision that this node knows; Heard is
-	// called with the revision that a caller's node sent.
-	Revision func() uint64
-	Heard    func(revision uint64)
-	Counters *Counters
+	// SendReport sends a report to the gate of a sibling host.
+	SendReport func(host string, report gate.Report)
+	// Revision returns the newest configuration revision that this node knows;
+	// ObserveRevision is called with the revision that a caller's node sent.
+	Revision        func() uint64
+	ObserveRevision func(revision uint64)
+	Counters        *Counters
 	// Dialect defines the header fields of the backend server.
 	Dialect *hop.Dialect
-	// Quarantine decides which requests are refused because servers exited under them;
-	// nil refuses none.
+	// Quarantine decides which requests are refused because servers crashed while
+	// running them; nil refuses none.
 	Quarantine *quarantine.Tracker
 	// Overload refuses requests of other nodes while this process is short of processor
 	// time; nil refuses none.
@@ -143,7 +143,7 @@
 	}
 	for _, send := range sends {
 		send.Report.Incarnation = e.options.Incarnation()
-		e.options.Send(send.To, send.Report)
+		e.options.SendReport(send.To, send.Report)
 	}
 }
 
@@ -185,9 +185,9 @@
 	}
 }
 
-// SetSuccessor records that another endpoint served this host's backend server before,
-// so that the gate cannot tell whether attempts sent to that one ran.
-func (e *Endpoint) SetSuccessor() {
+// SetReplacesEarlierEndpoint records that another endpoint served this host's backend
+// server before, so that the gate cannot tell whether attempts sent to that one ran.
+func (e *Endpoint) SetReplacesEarlierEndpoint() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.gate.StartHistoryAt(e.now())
@@ -206,8 +206,8 @@
 	})
 }
 
-// Learn applies a sibling's report.
-func (e *Endpoint) Learn(report gate.Report) {
+// ReceiveReport applies a sibling's report.
+func (e *Endpoint) ReceiveReport(report gate.Report) {
 	e.runGate(func(now time.Duration) []gate.Event {
 		e.gate.ApplyReport(now, report)
 		return nil
@@ -245,7 +245,7 @@
 // OnHint may be nil. It is called from other goroutines, while the request runs, with
 // the host of a sibling that would finish it sooner.
 func (e *Endpoint) Attempt(ctx context.Context, req hop.Request, out *hop.Outgoing, onHint func(to string)) (*http.Response, hop.Reply) {
-	e.options.Heard(req.Revision)
+	e.options.ObserveRevision(req.Revision)
 	reply := e.newReply(req)
 	if req.Incarnation != reply.Incarnation {
 		reply.Verdict = hop.Restarted
--- a/internal/endpoint/forward.go
+++ b/internal/endpoint/forward.go
@@ -51,7 +51,7 @@
 	}
 	started := time.Now()
 	e.tracker.add(handle, run)
-	serverCtx := e.Life()
+	serverCtx := e.ServerContext()
 	exchangeCtx, end := mergeContexts(ctx, serverCtx)
 	resp, err := pool.Do(exchangeCtx, e.backendRequest(out, left))
 	if err != nil {
--- a/internal/endpoint/load_test.go
+++ b/internal/endpoint/load_test.go
@@ -47,7 +47,7 @@
 		percent, err := strconv.ParseFloat(value, 64)
 		return hop.ServerLoad{Slowdown: percent / 100}, err == nil
 	}}
-	e := New(Options{Host: "h", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, Heard: func(uint64) {}, Send: func(string, gate.Report) {},
+	e := New(Options{Host: "h", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, ObserveRevision: func(uint64) {}, SendReport: func(string, gate.Report) {},
 		Counters: NewCounters(), Dialect: dialect}, gate.Config{Slots: 8, Queue: 8, Siblings: true})
 	t.Cleanup(e.Close)
 	e.SetHealthPath("/health")
@@ -80,7 +80,7 @@
 	e := newLoadEndpoint(t, s)
 	assert.Equal(t, attempt(e), hop.Ran)
 	for range 5 {
-		e.Learn(gate.Report{Host: "fast", Incarnation: 1, Sequence: uint64(time.Now().UnixNano()), Load: gate.Load{Slots: 8, Service: 100 * time.Millisecond, Slowdown: 1}})
+		e.ReceiveReport(gate.Report{Host: "fast", Incarnation: 1, Sequence: uint64(time.Now().UnixNano()), Load: gate.Load{Slots: 8, Service: 100 * time.Millisecond, Slowdown: 1}})
 		s.slowdown.Store(100)
 		eventually(t, "the server is known to be fast", func() bool { return e.speed().Slowdown == 1 })
 		time.Sleep(maxLoadAge)
--- a/internal/endpoint/restart_test.go
+++ b/internal/endpoint/restart_test.go
@@ -17,7 +17,7 @@
 // gate must continue to report that the request ran, so that a payment is not repeated.
 func TestRestartEndsRequestsOfPreviousProcess(t *testing.T) {
 	s := startSilentServer(t)
-	e := New(Options{Host: "h", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, Heard: func(uint64) {}, Send: func(string, gate.Report) {},
+	e := New(Options{Host: "h", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, ObserveRevision: func(uint64) {}, SendReport: func(string, gate.Report) {},
 		Counters: NewCounters()}, gate.Config{Slots: 1, Queue: 4})
 	defer e.Close()
 	e.SetBackend(s.address)
@@ -29,7 +29,7 @@
 		ended <- reply
 	}()
 	eventually(t, "the request runs", func() bool { return e.Load().Running == 1 })
-	e.SetRestarted(s.address)
+	e.ServerRestarted(s.address)
 	select {
 	case reply := <-ended:
 		assert.Equal(t, reply.Verdict, hop.ConnectionLost)
--- a/internal/endpoint/serve.go
+++ b/internal/endpoint/serve.go
@@ -202,9 +202,9 @@
 	return body, nil
 }
 
-// ServeGone refuses a request for a backend server that no longer runs beside this
+// RefuseDeparted refuses a request for a backend server that no longer runs beside this
 // node.
-func ServeGone(w http.ResponseWriter, r *http.Request, incarnation, revision uint64) {
+func RefuseDeparted(w http.ResponseWriter, r *http.Request, incarnation, revision uint64) {
 	req, err := hop.ParseRequest(r.Header.Get(hop.Header))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/internal/endpoint/silence_test.go
+++ b/internal/endpoint/silence_test.go
@@ -71,7 +71,7 @@
 func TestCallersOfSilentServerGetHint(t *testing.T) {
 	s := startSilentServer(t)
 	dialect := &hop.Dialect{Load: "X-Load", ParseLoad: func(string) (hop.ServerLoad, bool) { return hop.ServerLoad{Slots: 4, Slowdown: 1}, true }}
-	e := New(Options{Host: "h", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, Heard: func(uint64) {}, Send: func(string, gate.Report) {},
+	e := New(Options{Host: "h", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, ObserveRevision: func(uint64) {}, SendReport: func(string, gate.Report) {},
 		Counters: NewCounters(), Dialect: dialect}, gate.Config{Slots: 4, Queue: 4})
 	defer e.Close()
 	e.SetHealthPath("/health")
--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -98,10 +98,10 @@
 	}
 	n.mu.Unlock()
 	if moved {
-		s.endpoint.SetOtherServer(a.Instance, a.Address)
+		s.endpoint.ReplaceServer(a.Instance, a.Address)
 	}
 	if restarted {
-		s.endpoint.SetRestarted(a.Address)
+		s.endpoint.ServerRestarted(a.Address)
 	}
 	if a.Cold {
 		// Renewals count as well: a server may become cold at any time.
--- a/internal/node/announce_test.go
+++ b/internal/node/announce_test.go
@@ -189,12 +189,12 @@
 	n := newTestNode(t, "")
 	assert.NilError(t, n.announceDiscovered(announcement("i-1", 0, false)))
 	e := n.server.endpoint
-	life := e.Life()
+	serverCtx := e.ServerContext()
 	assert.NilError(t, n.Announce(startedAt(announcement("i-1", 7, false), 1000)))
-	assert.NilError(t, life.Err(), "exchanges were ended although the server did not start again")
+	assert.NilError(t, serverCtx.Err(), "exchanges were ended although the server did not start again")
 	assert.Equal(t, n.server.startedAt, int64(1000))
 	assert.NilError(t, n.Announce(startedAt(announcement("i-1", 1, false), 2000)))
-	assert.Assert(t, life.Err() != nil)
+	assert.Assert(t, serverCtx.Err() != nil)
 	assert.Equal(t, n.server.endpoint, e, "the gate with the record of earlier requests was replaced")
 }
 
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -64,7 +64,7 @@
 		return
 	}
 	// The backend server was withdrawn after the sender read its entry.
-	endpoint.ServeGone(w, r, n.incarnation.Load(), n.Revision())
+	endpoint.RefuseDeparted(w, r, n.incarnation.Load(), n.Revision())
 }
 
 // nodeService implements apiv1connect.NodeServiceHandler.
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -107,7 +107,7 @@
 		}
 		r.n.counters.reportsReceived.Add(1)
 		if e := r.n.currentEndpoint(); e != nil {
-			e.Learn(decodeReport(m))
+			e.ReceiveReport(decodeReport(m))
 		}
 	}
 }
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -60,13 +60,13 @@
 		config = n.gateConfig(spec, slots, 1)
 	}
 	e := endpoint.New(endpoint.Options{
-		Host: n.options.Host, Incarnation: n.incarnation.Load, Send: n.reports.send, Revision: n.Revision, Heard: n.observeRevision, Counters: n.gates, Dialect: n.options.Dialect, Quarantine: n.quarantine, Overload: n.overload,
+		Host: n.options.Host, Incarnation: n.incarnation.Load, SendReport: n.reports.send, Revision: n.Revision, ObserveRevision: n.observeRevision, Counters: n.gates, Dialect: n.options.Dialect, Quarantine: n.quarantine, Overload: n.overload,
 	}, config)
 	if n.hadServer {
-		e.SetSuccessor()
+		e.SetReplacesEarlierEndpoint()
 	}
 	if time.Since(n.start) < predecessorWindow {
-		e.AssumeStarts()
+		e.AssumeEarlierStarts()
 	}
 	n.hadServer = true
 	return &server{service: a.Service, endpoint: e}
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -22,8 +22,8 @@
 //	go test ./internal/proxy -run '^$' -bench Call
 func BenchmarkCall(b *testing.B) {
 	backend := startServer(b, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) }))
-	e := endpoint.New(endpoint.Options{Host: "a", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, Heard: func(uint64) {},
-		Send: func(string, gate.Report) {}, Counters: endpoint.NewCounters()}, gate.Config{Slots: 100, Queue: 100})
+	e := endpoint.New(endpoint.Options{Host: "a", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, ObserveRevision: func(uint64) {},
+		SendReport: func(string, gate.Report) {}, Counters: endpoint.NewCounters()}, gate.Config{Slots: 100, Queue: 100})
 	e.SetBackend(backend)
 	peer := startServer(b, http.HandlerFunc(e.ServeHop))
 	h := New(Options{Host: "front", Local: noLocal{}, Counters: NewCounters(), ObserveRevision: func(uint64) {}, Revision: func() uint64 { return 1 },
--- a/internal/proxy/liveness_test.go
+++ b/internal/proxy/liveness_test.go
@@ -56,8 +56,8 @@
 		_, _ = w.Write([]byte("there"))
 	}))
 	defer backend.Close()
-	e := endpoint.New(endpoint.Options{Host: "good", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, Heard: func(uint64) {},
-		Send: func(string, gate.Report) {}, Counters: endpoint.NewCounters()}, gate.Config{Slots: 10, Queue: 10})
+	e := endpoint.New(endpoint.Options{Host: "good", Incarnation: func() uint64 { return 1 }, Revision: func() uint64 { return 1 }, ObserveRevision: func(uint64) {},
+		SendReport: func(string, gate.Report) {}, Counters: endpoint.NewCounters()}, gate.Config{Slots: 10, Queue: 10})
 	defer e.Close()
 	e.SetBackend(backend.Listener.Addr().String())
 	good := httptest.NewServer(http.HandlerFunc(e.ServeHop))
