--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -113,9 +113,9 @@
 	return r
 }
 
-// Once calls the last known leader, or the first replica that responds. It follows one
+// Call calls the last known leader, or the first replica that responds. It follows one
 // hint per address and returns the last error.
-func (c *Client) Once(ctx context.Context, call func(context.Context, *Replica) error) error {
+func (c *Client) Call(ctx context.Context, call func(context.Context, *Replica) error) error {
 	tried := map[string]bool{}
 	queue := c.candidateAddresses()
 	var lastErr error = ErrUnreachable
@@ -159,12 +159,12 @@
 	return call(ctx, c.At(address))
 }
 
-// CallWithRetry repeats Once until it succeeds, fails permanently, or ctx ends. The
+// CallWithRetry repeats Call until it succeeds, fails permanently, or ctx ends. The
 // call must be idempotent.
 func (c *Client) CallWithRetry(ctx context.Context, call func(context.Context, *Replica) error) error {
 	backoff := minBackoff
 	for {
-		err := c.Once(ctx, call)
+		err := c.Call(ctx, call)
 		if err == nil {
 			return nil
 		}
--- a/internal/node/relaycontrol.go
+++ b/internal/node/relaycontrol.go
@@ -27,7 +27,7 @@
 		if req == nil {
 			return
 		}
-		err := r.n.options.Control.Once(ctx, func(ctx context.Context, c *controlclient.Replica) error {
+		err := r.n.options.Control.Call(ctx, func(ctx context.Context, c *controlclient.Replica) error {
 			resp, err := c.Control.RelaySync(ctx, connect.NewRequest(req))
 			if err == nil {
 				r.applyControlResponse(resp.Msg)
--- a/internal/node/relaysearch.go
+++ b/internal/node/relaysearch.go
@@ -51,7 +51,7 @@
 	}
 	sort.Strings(req.Unreachable)
 	var resp *apiv1.FindRelaysResponse
-	err := m.n.options.Control.Once(ctx, func(ctx context.Context, r *controlclient.Replica) error {
+	err := m.n.options.Control.Call(ctx, func(ctx context.Context, r *controlclient.Replica) error {
 		answer, err := r.Control.FindRelays(ctx, connect.NewRequest(req))
 		if err == nil {
 			resp = answer.Msg
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -102,7 +102,7 @@
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	req := &apiv1.JoinRequest{MemberId: r.identity.MemberID, Name: r.options.Name, Address: r.options.Address}
-	err := r.options.Group.Control.Once(ctx, func(ctx context.Context, c *controlclient.Replica) error {
+	err := r.options.Group.Control.Call(ctx, func(ctx context.Context, c *controlclient.Replica) error {
 		if c.Address == r.options.Address {
 			return fault.NotLeaderAt("")
 		}
