--- a/cmd/cactusctl/audit.go
+++ b/cmd/cactusctl/audit.go
@@ -73,6 +73,6 @@
 func printRecords(out io.Writer, records []*apiv1.AuditRecord) {
 	for _, r := range records {
 		when := time.UnixMilli(r.UnixMs).UTC().Format(time.RFC3339)
-		fmt.Fprintf(out, "%d  %s  %s  %s: %s, revision %d  (change %s)\n", r.Index, when, r.Operator, r.What, operator.OutcomeWord(r.Outcome), r.Revision, r.Id)
+		fmt.Fprintf(out, "%d  %s  %s  %s: %s, revision %d  (change %s)\n", r.Index, when, r.Operator, r.What, operator.OutcomeText(r.Outcome), r.Revision, r.Id)
 	}
 }
--- a/cmd/cactusctl/main.go
+++ b/cmd/cactusctl/main.go
@@ -158,7 +158,7 @@
 	}
 	doc, problems := estate.Parse(text)
 	if len(problems) > 0 {
-		return nil, nil, &operator.OutcomeError{Code: operator.ExitRefused, Message: file + " has faults:\n" + operator.Problems(estate.ProblemsToProto(problems))}
+		return nil, nil, &operator.OutcomeError{Code: operator.ExitRefused, Message: file + " has faults:\n" + operator.FormatProblems(estate.ProblemsToProto(problems))}
 	}
 	return text, doc, nil
 }
--- a/cmd/cactusctl/submit.go
+++ b/cmd/cactusctl/submit.go
@@ -52,7 +52,7 @@
 func newestRevision(ctx context.Context, c *operator.Client, text []byte) (int64, error) {
 	doc, problems := estate.Parse(text)
 	if len(problems) > 0 {
-		return 0, &operator.OutcomeError{Code: operator.ExitRefused, Message: "refused, nothing was changed:\n" + operator.Problems(estate.ProblemsToProto(problems))}
+		return 0, &operator.OutcomeError{Code: operator.ExitRefused, Message: "refused, nothing was changed:\n" + operator.FormatProblems(estate.ProblemsToProto(problems))}
 	}
 	shown, err := c.Show(ctx, doc.Institution)
 	if err != nil {
--- a/internal/dev/tour.go
+++ b/internal/dev/tour.go
@@ -356,7 +356,7 @@
 	}
 	var b bytes.Buffer
 	for _, r := range records {
-		fmt.Fprintf(&b, "%s by %s: %s, revision %d\n", r.What, r.Operator, operator.OutcomeWord(r.Outcome), r.Revision)
+		fmt.Fprintf(&b, "%s by %s: %s, revision %d\n", r.What, r.Operator, operator.OutcomeText(r.Outcome), r.Revision)
 	}
 	return strings.TrimSpace(b.String()), nil
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -150,11 +150,11 @@
 	case apiv1.Outcome_OUTCOME_ID_REUSED:
 		return &OutcomeError{ExitRefused, "refused: this change id was used for another change; nothing was changed. Use a new id"}
 	}
-	return &OutcomeError{ExitRefused, "refused, nothing was changed:\n" + Problems(r.Problems)}
+	return &OutcomeError{ExitRefused, "refused, nothing was changed:\n" + FormatProblems(r.Problems)}
 }
 
-// Problems formats the errors in an estate text, one per line.
-func Problems(problems []*apiv1.Problem) string {
+// FormatProblems formats the errors in an estate text, one per line.
+func FormatProblems(problems []*apiv1.Problem) string {
 	var b strings.Builder
 	for _, p := range problems {
 		fmt.Fprintf(&b, "  line %d, column %d", p.Line, p.Column)
@@ -253,8 +253,8 @@
 	}
 }
 
-// OutcomeWord returns the text for an outcome that is shown to operators.
-func OutcomeWord(o apiv1.Outcome) string {
+// OutcomeText returns the text for an outcome that is shown to operators.
+func OutcomeText(o apiv1.Outcome) string {
 	switch o {
 	case apiv1.Outcome_OUTCOME_ACCEPTED:
 		return "accepted"
