--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -47,7 +47,7 @@
 func (n *Node) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	path, control := apiv1connect.NewNodeServiceHandler(nodeService{n}, transport.Uncompressed())
-	mux.Handle(path, transport.Lean(control))
+	mux.Handle(path, transport.OmitUnneededHeaders(control))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, isHop := r.Header[hop.Header]; !isHop {
 			mux.ServeHTTP(w, r)
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -219,8 +219,8 @@
 	return l.next.RoundTrip(r)
 }
 
-// Lean omits response headers that the peer processes do not need.
-func Lean(next http.Handler) http.Handler {
+// OmitUnneededHeaders omits response headers that the peer processes do not need.
+func OmitUnneededHeaders(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header()["Date"] = nil
 		next.ServeHTTP(w, r)
