--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -261,16 +261,16 @@
 	return server
 }
 
-const handOverPeriod = 300 * time.Millisecond
+const leadershipTransferPeriod = 300 * time.Millisecond
 
-// stopControl hands over leadership before it stops, so that changes in progress at
+// stopControl transfers leadership before it stops, so that changes in progress at
 // other replicas do not wait for an election.
 func (p *Process) stopControl(server *http.Server, stop context.CancelFunc) {
-	ctx, cancel := context.WithTimeout(context.Background(), handOverPeriod)
+	ctx, cancel := context.WithTimeout(context.Background(), leadershipTransferPeriod)
 	defer cancel()
-	p.Replica.HandOver(ctx)
+	p.Replica.TransferLeadership(ctx)
 	if len(p.Replica.Status().Membership.GetMembers()) > 1 {
-		time.Sleep(handOverPeriod)
+		time.Sleep(leadershipTransferPeriod)
 	}
 	_ = server.Close()
 	stop()
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -263,7 +263,7 @@
 
 var errStopped = errors.New("the control replica is stopping; use another one")
 
-// HandOver starts a transfer of leadership to another replica, for a planned stop.
-func (r *Replica) HandOver(ctx context.Context) {
+// TransferLeadership starts a transfer of leadership to another replica, for a planned stop.
+func (r *Replica) TransferLeadership(ctx context.Context) {
 	_ = r.runInLoop(ctx, func() { r.raft.TransferLeader() })
 }
