--- a/internal/process/group_test.go
+++ b/internal/process/group_test.go
@@ -51,10 +51,10 @@
 
 func (g *controlGroup) dataFolder(i int) string { return filepath.Join(g.folder, fmt.Sprint(i)) }
 
-func (g *controlGroup) start(i int, found bool) {
+func (g *controlGroup) start(i int, bootstrap bool) {
 	g.t.Helper()
 	p, err := Open(&settings.Settings{Host: fmt.Sprint("h", i), ControlReplicas: g.addresses[:3], Control: &settings.Control{
-		Name: fmt.Sprint("c", i), Address: g.addresses[i], Listen: g.addresses[i], DataFolder: g.dataFolder(i), Group: &settings.Group{Tolerate: 2, Found: found}}}, nil)
+		Name: fmt.Sprint("c", i), Address: g.addresses[i], Listen: g.addresses[i], DataFolder: g.dataFolder(i), Group: &settings.Group{Tolerate: 2, Bootstrap: bootstrap}}}, nil)
 	assert.NilError(g.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &runningProcess{p, cancel, make(chan struct{})}
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -120,7 +120,7 @@
 		return nil
 	}
 	id := wal.Identity{MemberID: newMemberID(), Name: c.Name}
-	isFounder := c.Group != nil && c.Group.Found && slices.Contains(p.Settings.ControlReplicas, c.Address)
+	isFounder := c.Group != nil && c.Group.Bootstrap && slices.Contains(p.Settings.ControlReplicas, c.Address)
 	if isFounder {
 		id.MemberID, id.Founders = FounderID(c.Address), map[string]wal.Member{}
 		for _, address := range p.Settings.ControlReplicas {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -90,9 +90,9 @@
 type Group struct {
 	// Tolerate is the number of replicas that may fail at the same time.
 	Tolerate int
-	// Found marks the first start of the whole system. The replicas at the addresses in
-	// ControlReplicas then found the group.
-	Found bool
+	// Bootstrap marks the first start of the whole system. The replicas at the addresses in
+	// ControlReplicas then bootstrap the group.
+	Bootstrap bool
 }
 
 // Operator is a person or program that may change the listed institutions and, with Hosts, hosts
@@ -288,7 +288,7 @@
 	g := &Group{}
 	n.Object(map[string]func(jsonc.Node){
 		"tolerate": func(n jsonc.Node) { g.Tolerate = int(n.Uint(0, maxToleratedFailures)) },
-		"found":    func(n jsonc.Node) { g.Found = n.Bool() },
+		"found":    func(n jsonc.Node) { g.Bootstrap = n.Bool() },
 	}, "tolerate")
 	return g
 }
