--- a/cmd/cactusctl/emulate.go
+++ b/cmd/cactusctl/emulate.go
@@ -64,7 +64,7 @@
 	if len(policies) == 0 {
 		policies = emulatorPolicies()
 		if len(reduced) > 0 {
-			policies = []string{emulator.Chosen}
+			policies = []string{emulator.ProductionVariant}
 		}
 	}
 	var results []*emulator.Result
--- a/internal/emulator/coldstart_test.go
+++ b/internal/emulator/coldstart_test.go
@@ -20,7 +20,7 @@
 		t.Run(fmt.Sprintf("%d hosts", hosts), func(t *testing.T) {
 			t.Parallel()
 			s := readScenario(t, filepath.Join(folder, "cold", fmt.Sprintf("hosts-%d.json", hosts)))
-			v, err := Find(Chosen)
+			v, err := Find(ProductionVariant)
 			assert.NilError(t, err)
 			withPowerLoss := Run(s, v, 1)
 			for i := range s.Events {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -67,7 +67,7 @@
 // The same seed must give the same figures, and another seed different ones.
 func TestRunIsDeterministic(t *testing.T) {
 	s := readScenario(t, filepath.Join(folder, "alder-finch-usual.json"))
-	v, err := Find(Chosen)
+	v, err := Find(ProductionVariant)
 	assert.NilError(t, err)
 	first := Run(s, v, 1)
 	assert.DeepEqual(t, first, Run(s, v, 1))
--- a/internal/emulator/heldout_test.go
+++ b/internal/emulator/heldout_test.go
@@ -44,7 +44,7 @@
 		t.Run(c.desc, func(t *testing.T) {
 			s := readScenario(t, filepath.Join(folder, "vdm-busy.json"))
 			c.change(s)
-			production, err := Find(Chosen)
+			production, err := Find(ProductionVariant)
 			assert.NilError(t, err)
 			leastOutstanding, err := Find("least-outstanding")
 			assert.NilError(t, err)
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -242,7 +242,7 @@
 // PoliciesNeeded lists the policies that a scenario's expectations refer to, after the
 // one that the nodes run.
 func PoliciesNeeded(s *Scenario) []string {
-	names := []string{Chosen}
+	names := []string{ProductionVariant}
 	for _, e := range s.Expect {
 		for _, name := range []string{e.Policy, e.RatioTo} {
 			if name != "" && !slices.Contains(names, name) {
--- a/internal/emulator/variants.go
+++ b/internal/emulator/variants.go
@@ -26,12 +26,12 @@
 	Off mechanism.Set
 }
 
-// Chosen is the name of the variant that the nodes run.
-const Chosen = "cactus"
+// ProductionVariant is the name of the variant that the nodes run.
+const ProductionVariant = "cactus"
 
 // Without returns the variant that the nodes run, with some mechanisms disabled.
 func Without(off mechanism.Set) Variant {
-	name := Chosen
+	name := ProductionVariant
 	for _, n := range off.Names() {
 		name += " -" + n
 	}
