--- a/api/fault/fault.go
+++ b/api/fault/fault.go
@@ -65,8 +65,8 @@
 	LeaderHeader = "Cactus-Leader"
 )
 
-// Ran reports whether a request that failed with this kind may have run.
-func (k Kind) Ran() bool { return k == OutcomeUnknown || k == Interrupted }
+// MayHaveRun reports whether a request that failed with this kind may have run.
+func (k Kind) MayHaveRun() bool { return k == OutcomeUnknown || k == Interrupted }
 
 // New returns a Connect error of the given kind.
 func New(kind Kind, err error) *connect.Error {
@@ -83,9 +83,9 @@
 	return e
 }
 
-// Of returns the kind of an error received from another process, and the leader's
+// KindOf returns the kind of an error received from another process, and the leader's
 // address if it carries one. Errors without a kind are Unavailable.
-func Of(err error) (kind Kind, leader string) {
+func KindOf(err error) (kind Kind, leader string) {
 	var e *connect.Error
 	if !errors.As(err, &e) {
 		return Unavailable, ""
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -131,7 +131,7 @@
 			c.setLeader(address)
 			return nil
 		}
-		kind, hint := fault.Of(err)
+		kind, hint := fault.KindOf(err)
 		if !retryable(kind) {
 			return err
 		}
@@ -168,7 +168,7 @@
 		if err == nil {
 			return nil
 		}
-		if kind, _ := fault.Of(err); !retryable(kind) && kind != fault.Unknown {
+		if kind, _ := fault.KindOf(err); !retryable(kind) && kind != fault.Unknown {
 			return err
 		}
 		select {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -118,7 +118,7 @@
 // changeError distinguishes a change that may have been accepted from one that was not
 // sent or not allowed.
 func changeError(err error, changeID string) error {
-	switch kind, _ := fault.Of(err); kind {
+	switch kind, _ := fault.KindOf(err); kind {
 	case fault.Unauthorized, fault.Invalid:
 		return &OutcomeError{ExitRefused, "refused: " + errorMessage(err)}
 	case fault.NotLeader:
--- a/internal/operator/replicas.go
+++ b/internal/operator/replicas.go
@@ -107,7 +107,7 @@
 		if done, members := c.alreadyDone(ctx, req); done {
 			return members, nil
 		}
-		kind, _ := fault.Of(err)
+		kind, _ := fault.KindOf(err)
 		if kind != fault.NotCaughtUp && kind != fault.ChangePending {
 			return nil, &OutcomeError{ExitRefused, "refused: " + errorMessage(err)}
 		}
--- a/internal/proxy/fault.go
+++ b/internal/proxy/fault.go
@@ -58,7 +58,7 @@
 	kind := f.Fault
 	h.options.Counters.Faults.Add(string(kind), 1)
 	f.Ran, f.RetryAfterMs = "no", retryAfter.Milliseconds()
-	if kind.Ran() {
+	if kind.MayHaveRun() {
 		f.Ran = "unknown"
 	}
 	body, err := json.Marshal(f)
--- a/internal/replica/auth_test.go
+++ b/internal/replica/auth_test.go
@@ -44,7 +44,7 @@
 			operator, err := c.replica.authenticate(header, "claimed")
 			assert.Equal(t, err == nil, c.authenticated)
 			if !c.authenticated {
-				kind, _ := fault.Of(err)
+				kind, _ := fault.KindOf(err)
 				assert.Equal(t, kind, fault.Unauthorized)
 				return
 			}
@@ -64,7 +64,7 @@
 		_, err := r.hostOperator(http.Header{"Authorization": {"Bearer " + token}}, "claimed")
 		assert.Equal(t, err == nil, authorized, token)
 		if !authorized {
-			kind, _ := fault.Of(err)
+			kind, _ := fault.KindOf(err)
 			assert.Equal(t, kind, fault.Unauthorized)
 		}
 	}
--- a/internal/replica/propose_test.go
+++ b/internal/replica/propose_test.go
@@ -50,7 +50,7 @@
 func TestFollowerInIncompleteGroupReturnsLeaderAddress(t *testing.T) {
 	r := newFollower(t, &Group{Tolerate: 1}, voters(1, 2)...)
 	_, err := r.propose(t.Context(), newChange("c", "operator"))
-	kind, leader := fault.Of(err)
+	kind, leader := fault.KindOf(err)
 	assert.Equal(t, kind, fault.NotLeader)
 	assert.Equal(t, leader, "address of b")
 }
@@ -69,7 +69,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	_, err := r.propose(ctx, newChange("c", "operator"))
-	kind, _ := fault.Of(err)
+	kind, _ := fault.KindOf(err)
 	assert.Equal(t, kind, fault.Unavailable)
 	assert.Equal(t, r.raft.Status().LastIndex, last)
 }
--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -96,7 +96,7 @@
 // was not executed.
 func reportsNotRun(resp *http.Response) bool {
 	kind := fault.Kind(resp.Header.Get(fault.Header))
-	return kind != "" && !kind.Ran() && resp.StatusCode != http.StatusOK
+	return kind != "" && !kind.MayHaveRun() && resp.StatusCode != http.StatusOK
 }
 
 // unexpectedResponse reports whether a valid request to a configured service must not get this
