--- a/internal/capacity/data.go
+++ b/internal/capacity/data.go
@@ -104,13 +104,13 @@
 	LeaderCPU float64 `json:"leaderCorePercent"`
 	LeaderMB  float64 `json:"leaderResidentMB"`
 	// From the acceptance of a change until it is in force, over all nodes and changes.
-	ForceP50 float64 `json:"inForceP50ms"`
-	ForceP99 float64 `json:"inForceP99ms"`
-	ForceMax float64 `json:"inForceMaxms"`
+	InForceP50 float64 `json:"inForceP50ms"`
+	InForceP99 float64 `json:"inForceP99ms"`
+	InForceMax float64 `json:"inForceMaxms"`
 	// From a kill until every other node of the service has dropped the endpoint.
-	NoticeMax   float64 `json:"killNoticedMaxms"`
-	FalseAlarms float64 `json:"falseAlarms"`
-	FalseFailed float64 `json:"falselyFailed"`
+	FailureDetectionMax float64 `json:"killNoticedMaxms"`
+	FalseAlarms         float64 `json:"falseAlarms"`
+	FalseFailed         float64 `json:"falselyFailed"`
 }
 
 // PathRun is the latency of requests at one rate: direct, through one node and through
--- a/internal/capacity/plot_test.go
+++ b/internal/capacity/plot_test.go
@@ -29,9 +29,9 @@
 		"relay":  func(r ScaleRun) float64 { return r.RelayCPU },
 		"leader": func(r ScaleRun) float64 { return r.LeaderCPU }})
 	drawPlot(t, "in-force.png", "From accepted to in force", "nodes of the data centre", "ms", data, nodes, map[string]func(ScaleRun) float64{
-		"p50": func(r ScaleRun) float64 { return r.ForceP50 },
-		"p99": func(r ScaleRun) float64 { return r.ForceP99 },
-		"max": func(r ScaleRun) float64 { return r.ForceMax }})
+		"p50": func(r ScaleRun) float64 { return r.InForceP50 },
+		"p99": func(r ScaleRun) float64 { return r.InForceP99 },
+		"max": func(r ScaleRun) float64 { return r.InForceMax }})
 }
 
 func drawPlot(t *testing.T, file, title, x, y string, data *Data, over func(ScaleRun) float64, series map[string]func(ScaleRun) float64) {
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -163,8 +163,8 @@
 	add("control replica", "snapshot", fmt.Sprintf("%s KB + 50,000 audit records × 100 B (assumed)", formatNumber(f.snapshot.At(targetServices)/1000)), (f.snapshot.At(targetServices)+50_000*100)/1e6, "MB", 0)
 	add("control replica", "changes a second it can take", fmt.Sprintf("measured with 16 operators; needed %.2f", changesPerSecond), d.Slopes.Submit[1].PerSecond, "/s", 0)
 	last := d.Scale.Data[len(d.Scale.Data)-1]
-	inForce := last.ForceMax/1000 + 0.6
-	add("everywhere", "in force", fmt.Sprintf("%s s measured at %d nodes + 0.6 s for two exchanges between regions (assumed)", formatNumber(last.ForceMax/1000), last.Nodes), inForce, "s", limitInForceSeconds)
+	inForce := last.InForceMax/1000 + 0.6
+	add("everywhere", "in force", fmt.Sprintf("%s s measured at %d nodes + 0.6 s for two exchanges between regions (assumed)", formatNumber(last.InForceMax/1000), last.Nodes), inForce, "s", limitInForceSeconds)
 	add("everywhere", "in force, the node's relay dead", "the same + 1 s time-out + 1 s for the next relay's pull", inForce+2, "s", limitInForceSeconds)
 	add("everywhere", "hosts set aside", "5 voters and 1 learner", 6, "hosts", limitControlHosts)
 	return t.String()
@@ -232,7 +232,7 @@
 	t.WriteString("\n")
 	u := newTable("nodes of one data centre", "relays", "in force p50", "p99", "max", "kill noticed", "false alarms", "falsely failed")
 	for _, r := range d.Scale.Data {
-		u.row(fmt.Sprint(r.Nodes), fmt.Sprint(r.Relays), formatNumber(r.ForceP50)+" ms", formatNumber(r.ForceP99)+" ms", formatNumber(r.ForceMax)+" ms", formatNumber(r.NoticeMax)+" ms", formatNumber(r.FalseAlarms), formatNumber(r.FalseFailed))
+		u.row(fmt.Sprint(r.Nodes), fmt.Sprint(r.Relays), formatNumber(r.InForceP50)+" ms", formatNumber(r.InForceP99)+" ms", formatNumber(r.InForceMax)+" ms", formatNumber(r.FailureDetectionMax)+" ms", formatNumber(r.FalseAlarms), formatNumber(r.FalseFailed))
 	}
 	t.WriteString(u.String())
 	return t.String()
--- a/internal/e2e/scale_test.go
+++ b/internal/e2e/scale_test.go
@@ -182,7 +182,7 @@
 		}
 	}
 	sort.Float64s(took)
-	r.ForceP50, r.ForceP99, r.ForceMax = took[len(took)/2], took[len(took)*99/100], took[len(took)-1]
+	r.InForceP50, r.InForceP99, r.InForceMax = took[len(took)/2], took[len(took)*99/100], took[len(took)-1]
 }
 
 // submitOnly submits a text based on the latest revision without waiting until it is in force.
@@ -216,7 +216,7 @@
 	killedAt := time.Now().UnixMilli()
 	for _, n := range peers {
 		eventually(b, n.host+" has removed the killed node", func() bool { return metric(n.metrics(b), "directory_known_endpoints") < known[n.host] })
-		r.NoticeMax = max(r.NoticeMax, metric(n.metrics(b), "directory_changed_unix_ms")-float64(killedAt))
+		r.FailureDetectionMax = max(r.FailureDetectionMax, metric(n.metrics(b), "directory_changed_unix_ms")-float64(killedAt))
 	}
 }
 
