--- a/core/balancer/balancer.go
+++ b/core/balancer/balancer.go
@@ -21,21 +21,23 @@
 	PeerAddress string
 	Incarnation uint64
 	Slots       int
-	// Distance is the one-way network delay.
+	// Distance is the one-way network delay from the caller's node to the endpoint.
 	Distance time.Duration
 	// Near is set if the endpoint is in the caller's own data centre.
 	Near     bool
 	Draining bool
-	// Evacuated is set if the operator has evacuated its data centre; no request is
-	// sent there.
+	// Evacuated is set if the operator has evacuated the endpoint's data centre; no
+	// request is sent there.
 	Evacuated bool
-	// Outstanding is the number of unanswered requests of this node.
+	// Outstanding is the number of requests that this node has sent to the endpoint and
+	// that have not ended.
 	Outstanding int
 
 	report     gate.Report
 	reportedAt time.Duration
 	reported   bool
-	// sentSince is the number of requests that this node has sent since the report.
+	// sentSince is the number of requests that this node has sent to the endpoint since
+	// it received the report.
 	sentSince int
 	// avoidUntil is the time until which the endpoint gets no new requests because it
 	// could not be reached.
@@ -56,15 +58,16 @@
 const (
 	// maxReportAge is the age up to which a report influences picks.
 	maxReportAge = 200 * time.Millisecond
-	// initialBackoff and maxBackoff bound how long an endpoint that could not be
-	// reached gets no new requests. The time doubles with each consecutive failure;
-	// afterwards one request tries the endpoint again.
+	// initialBackoff and maxBackoff limit the exponential backoff: how long an endpoint
+	// that could not be reached gets no new requests. The backoff doubles with each
+	// consecutive failure. After it, the endpoint gets requests again, but retries
+	// prefer other endpoints until one request has reached it.
 	initialBackoff = 100 * time.Millisecond
 	maxBackoff     = 5 * time.Second
 	// recentlyFullDuration is how long a candidate counts as full after its gate passed
-	// a request on or refused it. Capacity changes within a tenth of a second, and
-	// asking costs one message inside the data centre. With a longer duration a caller
-	// sends most of its requests to other data centres.
+	// a request on or refused it. Whether a gate has capacity changes within a tenth of
+	// a second, and trying a full one costs one message inside the data centre. With a
+	// longer duration, a caller sends most of its requests to other data centres.
 	recentlyFullDuration = 100 * time.Millisecond
 )
 
@@ -125,8 +128,8 @@
 // Pick chooses a candidate that is not in tried, or returns nil if there is none. If no
 // candidate is usable, it falls back to any untried one, since wrong information about
 // all endpoints must not cause an outage. A retry does not fall back to a draining
-// candidate: with a full service the only one left was often on a host that was gone,
-// and the caller's final answer came 300 ms late.
+// candidate: if the service is full, the only candidate left is often on a host that no
+// longer runs, and the attempt delays the caller's final response by 300 ms.
 func (p *Pool) Pick(now time.Duration, tried []string) *Candidate {
 	var c *Candidate
 	if len(tried) > 0 {
@@ -159,7 +162,8 @@
 	return false
 }
 
-// Start counts a request sent to a candidate.
+// Start records that a request is sent to a candidate. Pick calls it for the candidate
+// that it returns.
 func (p *Pool) Start(c *Candidate) {
 	c.Outstanding++
 	c.sentSince++
@@ -169,8 +173,9 @@
 	return !c.Draining && now >= c.avoidUntil && !(c.reported && now-c.reportedAt < maxReportAge && (c.report.Load.Draining || c.report.Load.Failing))
 }
 
-// reliable excludes endpoints whose last attempt failed: a request that was already
-// refused once must not be the one to try them again.
+// reliable reports whether a candidate is usable and could be reached at the last
+// attempt. A request that was already refused once must not be the one that tests an
+// endpoint which could not be reached.
 func reliable(now time.Duration, c *Candidate) bool { return usable(now, c) && c.failures == 0 }
 
 func anyCandidate(time.Duration, *Candidate) bool { return true }
@@ -190,7 +195,9 @@
 	return p.policy.Pick(now, p.eligible)
 }
 
-// Done counts the end of an attempt. reached is set if the endpoint's node answered.
+// Done records the end of a request sent to a candidate. reached is set if the
+// endpoint's node responded; if it did not, the candidate gets no new requests during a
+// backoff.
 func (p *Pool) Done(now time.Duration, c *Candidate, reached bool) {
 	c.Outstanding--
 	if reached {
@@ -218,18 +225,20 @@
 // RecentlyFull reports whether SetRecentlyFull was called within recentlyFullDuration.
 func (c *Candidate) RecentlyFull(now time.Duration) bool { return now < c.recentlyFullUntil }
 
-// SetDraining records that a candidate's gate reported draining before the directory
-// did.
+// SetDraining records that a candidate is draining, as reported by its gate, without
+// waiting for the directory to report it.
 func (p *Pool) SetDraining(c *Candidate) { c.Draining = true }
 
-// SetIncarnation records a node's restart before the directory reports it.
+// SetIncarnation records the higher incarnation of a restarted node without waiting for
+// the directory to report it.
 func (p *Pool) SetIncarnation(c *Candidate, incarnation uint64) {
 	if incarnation > c.Incarnation {
 		c.Incarnation = incarnation
 	}
 }
 
-// Learn updates a candidate with a load report.
+// Learn applies a load report to the candidate that it is about, unless a newer report
+// is known.
 func (p *Pool) Learn(now time.Duration, r gate.Report) {
 	c := p.byHost[r.Host]
 	if c == nil || c.reported && !r.Newer(c.report) {
@@ -239,7 +248,8 @@
 	c.sentSince = 0
 }
 
-// Report returns the latest report of a candidate if it is not too old.
+// Report returns the latest load report of a candidate; ok is false if there is none or
+// it is older than maxReportAge.
 func (c *Candidate) Report(now time.Duration) (r gate.Report, ok bool) {
 	if !c.reported || now-c.reportedAt > maxReportAge {
 		return gate.Report{}, false
@@ -248,5 +258,5 @@
 }
 
 // SentSince returns the number of requests that this node has sent to the candidate
-// since the report.
+// since it received the candidate's latest load report.
 func (c *Candidate) SentSince() int { return c.sentSince }
--- a/core/balancer/balancer_test.go
+++ b/core/balancer/balancer_test.go
@@ -57,8 +57,9 @@
 }
 
 // TestUnreachableEndpointIsTriedAgain guards against sending requests to an unreachable
-// endpoint and against avoiding it forever. It gets no requests for a time that grows
-// with each failure, then one request; an answer makes it usable at once.
+// endpoint and against avoiding it forever. It gets no requests during a backoff that
+// grows with each failure, and is then tried again; a response makes it fully usable at
+// once.
 func TestUnreachableEndpointIsTriedAgain(t *testing.T) {
 	p := newPool(leastoutstanding.New(newRandom()), 2)
 	c := p.Get("host-00")
@@ -73,7 +74,8 @@
 }
 
 // TestRetryGoesToAReliableEndpoint guards against sending a refused request to an
-// endpoint that failed at its last attempt, while there is another one.
+// endpoint that could not be reached at the last attempt, while there is another
+// endpoint.
 func TestRetryGoesToAReliableEndpoint(t *testing.T) {
 	p := newPool(leastoutstanding.New(newRandom()), 3)
 	failing := p.Get("host-01")
@@ -88,7 +90,7 @@
 }
 
 // TestRestartDiscardsState guards against applying the state of an old incarnation to a
-// restarted node. An older entry must not restore that state.
+// restarted node. An older directory entry must not restore that state.
 func TestRestartDiscardsState(t *testing.T) {
 	p := newPool(leastoutstanding.New(newRandom()), 1)
 	c := p.Get("host-00")
@@ -126,8 +128,8 @@
 
 // TestFullCandidateIsAvoidedBriefly guards against avoiding a near endpoint for long
 // after its gate passed a request on for lack of capacity. Capacity changes within a
-// tenth of a second. When callers avoided the endpoint for a second, all their requests
-// of that second went to other data centres.
+// tenth of a second. If callers avoided the endpoint for a second, all their requests
+// of that second would go to other data centres.
 func TestFullCandidateIsAvoidedBriefly(t *testing.T) {
 	p := balancer.NewPool(nearby.New(leastoutstanding.New(newRandom())))
 	p.Update([]balancer.Candidate{{Host: "near", Near: true, Slots: 4}, {Host: "far", Slots: 4}})
@@ -150,10 +152,11 @@
 	}
 }
 
-// TestRefusedRequestIsNotSentToADrainingEndpoint guards against a late answer from a
-// full service. One of its three endpoints is gone with its host, and the directory
-// still lists it as draining. A request that two gates have refused must be answered
-// now; sent to the third endpoint it waited for a connection that nobody accepts.
+// TestRefusedRequestIsNotSentToADrainingEndpoint guards against a late response from a
+// full service. The host of one of its three endpoints no longer runs, and the
+// directory still lists that endpoint as draining. The caller of a request that two
+// gates have refused must get its response now: if the request were sent to the third
+// endpoint, it would wait for a connection that is never accepted.
 func TestRefusedRequestIsNotSentToADrainingEndpoint(t *testing.T) {
 	p := newPool(leastoutstanding.New(newRandom()), 3)
 	p.SetDraining(p.Get("host-02"))
