--- a/core/balancer/leastoutstanding/leastoutstanding.go
+++ b/core/balancer/leastoutstanding/leastoutstanding.go
@@ -1,6 +1,7 @@
 // Package leastoutstanding picks the candidate with the fewest outstanding requests of
-// this caller. It needs no reports and reacts to a stall as soon as answers stop. It
-// cannot cause herding, since it counts only the caller's own requests.
+// this caller. It needs no reports and reacts to a stalled endpoint as soon as its
+// responses stop. It cannot cause herding, since it counts only the caller's own
+// requests.
 package leastoutstanding
 
 import (
