--- a/core/balancer/nearby/nearby.go
+++ b/core/balancer/nearby/nearby.go
@@ -27,11 +27,12 @@
 // Name implements balancer.Policy.
 func (p *policy) Name() string { return "nearby-" + p.inner.Name() }
 
-// hasCapacity reports whether a near candidate is picked without considering others.
-// The caller's own outstanding requests say little where many callers share few near
-// endpoints: all callers together would fill them, each within its own share, and
-// saturate the link in front of them with bodies that are then sent again elsewhere. A
-// candidate whose gate recently had no capacity is therefore excluded as well.
+// hasCapacity reports whether a near candidate may be picked without considering
+// candidates in other data centres. The caller's own outstanding requests say little
+// where many callers share few near endpoints: all callers together would fill them,
+// each within its own share, and saturate the link in front of them with bodies that
+// are then sent again elsewhere. A candidate whose gate recently had no capacity is
+// therefore excluded as well.
 func hasCapacity(now time.Duration, c *balancer.Candidate) bool {
 	return float64(c.Outstanding) < maxOwnUtilization*float64(max(1, c.Slots)) && !c.RecentlyFull(now)
 }
--- a/core/balancer/nearby/nearby_test.go
+++ b/core/balancer/nearby/nearby_test.go
@@ -36,10 +36,10 @@
 }
 
 // TestFullNearCandidateIsNotPreferred guards against saturating a link. Thirty nodes
-// share two near endpoints, each with few outstanding requests there, so that the near
-// endpoints always seemed to have capacity. Bodies crossed their links, were passed on
-// by the gate and were sent again elsewhere, while the callers waited for the saturated
-// link.
+// share two near endpoints, each with few outstanding requests there, so that by those
+// alone the near endpoints always seem to have capacity. Request bodies would then
+// cross the endpoints' links, be passed on by the gate and be sent again elsewhere,
+// while the callers wait for the saturated link.
 func TestFullNearCandidateIsNotPreferred(t *testing.T) {
 	pool := balancer.NewPool(New(leastoutstanding.New(rand.New(rand.NewPCG(1, 2)))))
 	pool.Update([]balancer.Candidate{{Host: "far", Slots: 10}, {Host: "near", Near: true, Slots: 10}})
