--- a/core/balancer/nodes/nodes.go
+++ b/core/balancer/nodes/nodes.go
@@ -11,7 +11,9 @@
 	"cactuspath/core/mechanism"
 )
 
-// Policy returns the nodes' policy without the disabled mechanisms.
+// Policy returns the policy that nodes use: the candidate with the fewest outstanding
+// requests per slot, among near candidates if these have capacity. If off contains
+// mechanism.Near, near candidates are not preferred.
 func Policy(random *rand.Rand, off mechanism.Set) balancer.Policy {
 	policy := leastoutstanding.New(random)
 	if off.Has(mechanism.Near) {
