--- a/core/balancer/predicted/predicted.go
+++ b/core/balancer/predicted/predicted.go
@@ -1,8 +1,8 @@
 // Package predicted picks the candidate with the earliest expected completion of a
 // call, based on its last report, the requests that this caller has sent since, and the
 // distance. Without a recent report it uses this caller's own outstanding requests, so
-// that callers with little information do not herd to the few candidates that they have
-// reports of.
+// that callers which have reports of only a few candidates do not all send their
+// requests to these (herding).
 package predicted
 
 import (
@@ -24,7 +24,8 @@
 // without a recent report.
 const defaultServiceTime = float64(5 * time.Millisecond)
 
-// Pick returns the candidate with the earliest expected completion.
+// Pick returns the candidate with the earliest expected completion of a request sent
+// now, network delay in both directions included.
 func (p policy) Pick(now time.Duration, candidates []*balancer.Candidate) *balancer.Candidate {
 	best := candidates[0]
 	bestScore := p.score(now, best)
