--- a/core/balancer/roundrobin/roundrobin.go
+++ b/core/balancer/roundrobin/roundrobin.go
@@ -10,8 +10,8 @@
 
 type policy struct{ next int }
 
-// New returns the policy. It starts at a random position, so that many callers do not
-// all start with the same endpoint.
+// New returns the policy. The first candidate that it picks is random, so that many
+// callers do not all begin with the same endpoint.
 func New(random *rand.Rand) balancer.Policy { return &policy{next: random.IntN(1 << 16)} }
 
 // Name implements balancer.Policy.
