--- a/internal/quarantine/exchange.go
+++ b/internal/quarantine/exchange.go
@@ -8,31 +8,33 @@
 	"cactuspath/core/quarantine"
 )
 
-// Nodes also exchange with control replicas. These keep the crashes of backend servers when all
-// nodes have stopped, and a node that reaches no other node gets the others' through them.
+// Besides exchanging crash records with each other, nodes exchange them with control
+// replicas. The replicas keep the records when all nodes have stopped, and a node that
+// reaches no other node gets the records of the others through them.
 
 const (
-	// exchangeInterval is the interval at which a node exchanges with a control replica while it
-	// has something to send or may have missed something.
+	// exchangeInterval is the interval at which a node exchanges records with a control
+	// replica while it has something to send or may have missed something.
 	exchangeInterval = quarantine.IdleCompareInterval
 	// nodesAtFullRate is the number of nodes up to which each uses exchangeInterval. In a larger
 	// fleet the interval grows with the number of nodes, so that the load on control stays the same.
 	nodesAtFullRate = 256
 	// exchangeTimeout limits one request to a control replica.
 	exchangeTimeout = 500 * time.Millisecond
-	// maxRounds is the number of requests that synchronize two ledgers: a comparison, hashes,
-	// and the crashes that were requested.
+	// maxRounds bounds the requests in one exchange. They are the number that synchronizes
+	// two ledgers: a comparison of digests, hashes, and the crashes that were requested.
 	maxRounds = 4
 )
 
-// SendFunc sends messages to a control replica and returns its messages.
+// SendFunc sends messages to a control replica and returns its replies.
 type SendFunc func(ctx context.Context, messages []*apiv1.QuarantineNews) ([]*apiv1.QuarantineNews, error)
 
-// RunControlExchange exchanges with control replicas until ctx is done, each time with the one that
-// choose returns; nil for none.
+// RunControlExchange exchanges crash records with control replicas until ctx is done. Each
+// time, choose returns the function that sends messages to the replica to use, or nil if
+// there is none.
 func (t *Tracker) RunControlExchange(ctx context.Context, choose func() SendFunc) {
-	// The first exchange is immediate: a node that has just started may have to refuse its first
-	// request.
+	// The first exchange is immediate: a node that has just started may have to refuse its
+	// first request, because its content is already quarantined.
 	for wait, active := time.Duration(0), true; ; wait, active = t.nextExchange() {
 		select {
 		case <-ctx.Done():
@@ -53,8 +55,8 @@
 	return exchangeInterval * time.Duration(1+t.gossip.Peers()/nodesAtFullRate), t.gossip.NeedsSync(t.now())
 }
 
-// exchange performs one exchange with one replica. If the replica does not respond, the next
-// exchange, with another replica, makes up for it.
+// exchange synchronizes the ledger with that of one replica. If the replica does not respond,
+// nothing is retried, because the next exchange uses another replica.
 func (t *Tracker) exchange(ctx context.Context, send SendFunc) {
 	t.mu.Lock()
 	messages := []*apiv1.QuarantineNews{toWire(t.options.Host, t.gossip.Compare())}
@@ -72,8 +74,8 @@
 	}
 }
 
-// Answer processes messages and returns the replies to their sender; messages for other nodes
-// are sent to these.
+// Answer processes received messages and returns the replies for their sender. Messages that
+// result for other nodes are sent to those nodes as datagrams.
 func (t *Tracker) Answer(messages []*apiv1.QuarantineNews) []*apiv1.QuarantineNews {
 	var answers []*apiv1.QuarantineNews
 	for _, news := range messages {
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -23,8 +23,9 @@
 	storeInterval = 250 * time.Millisecond
 )
 
-// Store writes the ledger to a folder until ctx is done, so that it survives a stop of all
-// processes. If writing to the disk fails, only this protection is lost. Load must be called first.
+// Store writes the ledger to a folder whenever it has changed, until ctx is done, so that it
+// survives a stop of all processes. A failed write is logged and retried; it costs only this
+// protection, and the Tracker continues to work. Load must be called first.
 func (t *Tracker) Store(ctx context.Context, folder string) {
 	ticker := time.NewTicker(storeInterval)
 	defer ticker.Stop()
@@ -72,8 +73,9 @@
 	return wal.WriteSynced(folder, fileName, data)
 }
 
-// Load reads the ledger from a folder. If the clock was set back since it was stored, the crashes
-// keep the age that they had then.
+// Load reads the ledger that Store wrote to a folder, and adds the time since then to the
+// ages of its crashes. If the clock was set back in the meantime, the crashes keep the ages
+// that they had when they were stored. A missing file is not an error.
 func (t *Tracker) Load(folder string) error {
 	data, err := os.ReadFile(filepath.Join(folder, fileName))
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/quarantine/store_test.go
+++ b/internal/quarantine/store_test.go
@@ -55,7 +55,8 @@
 	assert.Assert(t, after.QuarantinedFor(fatal) <= before.QuarantinedFor(fatal)+time.Second)
 }
 
-// The clock was set forward or back between storing and loading.
+// The clock is set forward or back between storing and loading the ledger. The crashes must
+// not become younger than they were when they were stored.
 func TestLoadAfterClockChange(t *testing.T) {
 	fatal := contentOf("/fatal")
 	for _, c := range []struct {
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -1,6 +1,6 @@
-// Package quarantine keeps requests away from backend servers if servers repeatedly
-// crash while running them. It holds a node's ledger (core/quarantine) and exchanges it
-// with those of other nodes.
+// Package quarantine refuses requests with content that repeatedly crashes backend servers.
+// It holds a node's ledger of crashes (core/quarantine) and synchronizes it with those of
+// other nodes and of control replicas.
 package quarantine
 
 import (
@@ -18,10 +18,11 @@
 
 // Counters count the events of a Tracker.
 type Counters struct {
-	// Ends counts the crashes of the local backend server, Refused the requests that
-	// this node refused because of their quarantine.
+	// Ends counts the crashes of the local backend server, Refused the requests that this
+	// node refused because their content is quarantined.
 	Ends, Refused expvar.Int
-	// MessagesSent and Malformed count datagrams.
+	// MessagesSent counts the datagrams sent to other nodes, Malformed the received messages
+	// that could not be decoded.
 	MessagesSent, Malformed expvar.Int
 }
 
@@ -29,14 +30,14 @@
 type Options struct {
 	// Host is the host of this node.
 	Host string
-	// Send sends a datagram to the node of another host. Datagrams may be lost. A Tracker without
-	// peers sends nothing.
+	// Send sends a datagram to the node of another host. Datagrams may be lost. A Tracker
+	// without peers never calls it.
 	Send     func(host string, datagram []byte)
 	Counters *Counters
 }
 
-// Tracker is one node's ledger of crashed backend servers. Safe for concurrent use. A nil
-// Tracker quarantines nothing.
+// Tracker is one node's ledger of backend server crashes, from which it derives which
+// contents are quarantined. Safe for concurrent use. A nil Tracker quarantines nothing.
 type Tracker struct {
 	options Options
 	start   time.Time
@@ -62,7 +63,7 @@
 
 func (t *Tracker) now() time.Duration { return time.Since(t.start) }
 
-// Run compares the ledger with those of other nodes until ctx is done.
+// Run periodically compares the ledger with those of other nodes until ctx is done.
 func (t *Tracker) Run(ctx context.Context) {
 	ticker := time.NewTicker(quarantine.CompareInterval)
 	defer ticker.Stop()
@@ -127,8 +128,9 @@
 	t.update(func(now time.Duration) []quarantine.Envelope { return t.gossip.Receive(now, from, m) })
 }
 
-// Ended records that the local backend server crashed while it ran requests with the
-// contents, and requests with the paths whose bodies were streamed.
+// Ended records a crash of the local backend server. Contents are those of the requests that
+// were running on it. Paths are those of the running requests with streamed bodies, whose
+// content may be unknown.
 func (t *Tracker) Ended(contents []quarantine.Content, paths []quarantine.Key) {
 	if t == nil {
 		return
@@ -144,7 +146,8 @@
 	}
 }
 
-// Completed records that the local backend server responded completely to a request.
+// Completed records that the local backend server sent a complete response to a request with
+// the content. Such completions can clear the content of suspicion.
 func (t *Tracker) Completed(c quarantine.Content) {
 	if t == nil || !c.Known() {
 		return
@@ -175,7 +178,7 @@
 	return len(t.gossip.Ledger.AllQuarantined(t.now()))
 }
 
-// Refused counts a request that was refused because of its quarantine.
+// Refused counts a request that was refused because its content is quarantined.
 func (t *Tracker) Refused() { t.options.Counters.Refused.Add(1) }
 
 // Suspected reports whether a server crashed while running a request with this path whose
--- a/internal/quarantine/wire.go
+++ b/internal/quarantine/wire.go
@@ -10,13 +10,14 @@
 	"cactuspath/core/quarantine"
 )
 
-// DatagramMarker is the first byte of a datagram for a Tracker. It tells them apart from load
-// reports on the same socket, none of which begins with it.
+// DatagramMarker is the first byte of a datagram for a Tracker. It distinguishes these
+// datagrams from load reports, which arrive on the same socket and never begin with this
+// byte.
 const DatagramMarker = 0
 
 var errMalformed = errors.New("malformed quarantine message; both nodes must run the same release")
 
-// maxAge is the largest age that is accepted: no record is kept that long.
+// maxAge is the largest age accepted in a message. No ledger keeps a record that long.
 const maxAge = 24 * time.Hour
 
 func parseAge(ms uint64) (time.Duration, error) {
