--- a/internal/overload/gc.go
+++ b/internal/overload/gc.go
@@ -13,7 +13,8 @@
 // processGC is shared by all monitors, because the GC percentage is set per process.
 var processGC gcPercent
 
-// gcPercent raises the GC percentage while at least one monitor needs it.
+// gcPercent raises the GC percentage while at least one monitor needs it raised, and restores
+// it afterwards.
 type gcPercent struct {
 	mu sync.Mutex
 	// users is the number of monitors that need it raised; normal is the percentage to
--- a/internal/overload/monitor.go
+++ b/internal/overload/monitor.go
@@ -43,14 +43,15 @@
 	// refusedBefore is the value of Refused when the current overload began.
 	refusedBefore int64
 
-	// Shortages counts overloads, Refused the requests refused because of them.
+	// Shortages counts the overloads, that is, the times when processor time became short;
+	// Refused counts the requests refused during overloads.
 	Shortages, Refused expvar.Int
 }
 
 // NewMonitor returns a monitor that logs under the given host name.
 func NewMonitor(host string) *Monitor { return &Monitor{host: host, start: time.Now()} }
 
-// Run measures until ctx is done.
+// Run measures the scheduling delay until ctx is done.
 func (m *Monitor) Run(ctx context.Context) {
 	timer := time.NewTimer(sampleInterval)
 	defer timer.Stop()
@@ -115,7 +116,7 @@
 )
 
 // raiseGC raises the GC percentage, which saves processor time at the cost of memory, or
-// ends that.
+// restores the normal one.
 func (m *Monitor) raiseGC(raise bool) {
 	if raise == m.gcRaised {
 		return
@@ -135,7 +136,8 @@
 	m.disabled = disabled
 }
 
-// Admit reports whether to serve a request. A nil Monitor admits all.
+// Admit reports whether to serve a request, given where it comes from and how important it
+// is. A nil Monitor admits all requests.
 func (m *Monitor) Admit(from overload.Origin, rank overload.Rank) bool {
 	if m == nil {
 		return true
@@ -161,14 +163,14 @@
 	return minRetryAfter + rand.N(maxRetryAfter-minRetryAfter)
 }
 
-// Share returns the share of callers' requests that are currently refused.
+// Share returns the fraction of callers' requests that is currently refused.
 func (m *Monitor) Share() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.shedder.Share()
 }
 
-// Delay returns the mean scheduling delay of the last window.
+// Delay returns the mean scheduling delay in the last measuring window.
 func (m *Monitor) Delay() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/overload/monitor_test.go
+++ b/internal/overload/monitor_test.go
@@ -10,7 +10,8 @@
 	"cactuspath/core/overload"
 )
 
-// simulateOverload feeds a monitor delays that it reports as an overload.
+// simulateOverload passes delays to a monitor that are long enough for it to detect an
+// overload.
 func simulateOverload(m *Monitor) {
 	for range 6 {
 		// Windows end by the clock; moving the start back completes one at once.
