--- a/internal/endpoint/backend.go
+++ b/internal/endpoint/backend.go
@@ -13,7 +13,8 @@
 	"cactuspath/internal/hop"
 )
 
-// SetBackend sets the backend server's address.
+// SetBackend sets the backend server's address, closes idle connections to the previous one
+// and marks the server as up.
 func (e *Endpoint) SetBackend(address string) {
 	for _, p := range []*atomic.Pointer[hop.Pool]{&e.backend, &e.healthPool} {
 		if old := p.Swap(hop.NewPool(address, nil)); old != nil {
@@ -25,10 +26,10 @@
 	e.setDown(false)
 }
 
-// ServerRestarted records that the backend server restarted at its address. Requests
-// sent to its previous process are lost, and their exchanges end now: after a network
-// partition the old connections may stay open and silent, and would hold their slots
-// until their deadlines.
+// ServerRestarted records that the backend server restarted at its address. Requests sent to
+// its previous process are lost, so their exchanges are canceled. Otherwise, connections to
+// that process which stay open and silent after a network partition would occupy slots until
+// the requests' deadlines.
 func (e *Endpoint) ServerRestarted(address string) {
 	e.reportExit(e.tracker.reset())
 	e.SetBackend(address)
@@ -58,7 +59,8 @@
 	e.SetBackend(address)
 }
 
-// SetDraining starts or ends a drain.
+// SetDraining starts or ends a drain of the backend server. While the server drains, its exit
+// is expected and is not recorded as a crash.
 func (e *Endpoint) SetDraining(draining bool) {
 	e.tracker.setPlanned(draining)
 	e.runGate(func(now time.Duration) []gate.Event { return e.gate.SetDraining(now, draining) })
@@ -70,8 +72,8 @@
 	e.runGate(func(now time.Duration) []gate.Event { return e.gate.SetEvacuated(now, evacuated) })
 }
 
-// SetCold records that the backend server is cold. Left is the remaining time that it
-// reports, or 0 if it reports none.
+// SetCold records that the backend server is in its cold start. Left is the remaining
+// duration that the server reports, or 0 if it reports none.
 func (e *Endpoint) SetCold(left time.Duration) {
 	e.runGate(func(now time.Duration) []gate.Event {
 		e.gate.SetCold(now, left)
@@ -79,8 +81,8 @@
 	})
 }
 
-// AssumeEarlierStarts makes the gate assume that the previous process of this node has
-// just started requests.
+// AssumeEarlierStarts makes the gate assume that this node's previous process started
+// requests on the backend server just before this process took over.
 func (e *Endpoint) AssumeEarlierStarts() {
 	e.runGate(func(now time.Duration) []gate.Event {
 		e.gate.AssumeEarlierStarts(now)
@@ -116,8 +118,8 @@
 	}
 }
 
-// responds reports whether the backend server is up: it returns any response on its
-// health path, or accepts a connection if it has no health path.
+// responds reports whether the backend server is up, which means that it sends any response
+// on its health path or, if it has no health path, accepts a connection.
 func (e *Endpoint) responds() bool {
 	pool, path := e.healthPool.Load(), e.healthPath.Load()
 	if path == nil || *path == "" {
--- a/internal/endpoint/cold_test.go
+++ b/internal/endpoint/cold_test.go
@@ -18,8 +18,8 @@
 
 const coldLimit = 10
 
-// coldServer is a backend server whose health responses tell how long it stays cold. It
-// records when requests arrive.
+// coldServer is a backend server whose health responses contain the remaining duration of its
+// cold start. It records when requests arrive.
 type coldServer struct {
 	*httptest.Server
 	coldUntil atomic.Int64
@@ -59,8 +59,9 @@
 	return list
 }
 
-// Guards against overloading a busy server that turns cold between two heartbeats. Its
-// responses to requests do not tell, so the health path must be polled in between.
+// Guards against overloading a busy server that becomes cold between two heartbeats. Only its
+// health responses show this, not its responses to requests, so the health path must be
+// polled in between.
 func TestServerThatTurnsColdUnderLoadStaysWithinLimit(t *testing.T) {
 	s := newColdServer(t)
 	dialect := &hop.Dialect{Load: "X-Load", ParseLoad: func(string) (hop.ServerLoad, bool) { return hop.ServerLoad{Slowdown: 1}, true },
--- a/internal/endpoint/counters.go
+++ b/internal/endpoint/counters.go
@@ -9,10 +9,12 @@
 
 // Counters count the decisions of the gates of all backend servers of a node.
 type Counters struct {
-	// Waited is the time from a request's arrival to its start, Ran that from its start
-	// to the end of its response.
+	// Waited is the time from a request's arrival until the gate lets it run, Ran the time
+	// from sending it to the backend server to the end of the response.
 	Waited, Ran *latency.Histogram
 
+	// Started, Moved and Refused count the gate's decisions, Refused by reason. Probes counts
+	// the load queries, LoadMalformed the load reports that could not be parsed.
 	Started, Moved, Probes, LoadMalformed expvar.Int
 	Refused                               expvar.Map
 }
--- a/internal/endpoint/ended.go
+++ b/internal/endpoint/ended.go
@@ -12,25 +12,26 @@
 	"cactuspath/internal/logs"
 )
 
-// Tracks the requests that run on the backend server when its process exits. One of
-// them may be the cause. To find it, the requests that ran on other servers that exited
-// are compared, so every gate has to know and report its own.
+// Records which requests are running on the backend server when it crashes, since one of them
+// may be the cause. The cause is found by comparing the requests that were running when other
+// servers crashed, so every gate reports those of its own server.
 
 const (
-	// exitChecks is how many times a backend server that broke off an exchange is checked,
-	// and exitCheckInterval the interval between checks. After an exit all exchanges
-	// break off within a few milliseconds; on a busy host it takes longer until all of
-	// that is noticed.
+	// exitChecks is how many times a backend server is checked for a crash after an exchange
+	// broke off, and exitCheckInterval the interval between checks. After a crash all
+	// exchanges break off within a few milliseconds, but a busy host takes longer to detect
+	// it for all of them.
 	exitChecks        = 20
 	exitCheckInterval = 20 * time.Millisecond
-	// exitRefusals is the number of consecutive refused connections that mean that the
-	// server has exited. A server with too many connections also refuses some.
+	// exitRefusals is the number of consecutive refused connections after which the server is
+	// considered crashed. A single refusal is not enough, because a running server with too
+	// many connections also refuses some.
 	exitRefusals = 3
-	// brokenRunTTL is how long a request whose exchange broke off counts as running.
-	// Within that time a server that vanished silently or restarted at once has
-	// announced its new process.
+	// brokenRunTTL is how long a request whose exchange broke off counts as running at a
+	// crash. The checks miss the crash of a server that vanished silently or restarted at
+	// once; such a server announces its new process within this time.
 	brokenRunTTL = 5 * time.Second
-	// maxBrokenRuns bounds the number of broken-off requests that are remembered.
+	// maxBrokenRuns bounds the number of remembered requests whose exchanges broke off.
 	maxBrokenRuns = 128
 )
 
@@ -39,7 +40,8 @@
 	attempt gate.AttemptID
 	target  quarantine.Target
 	content quarantine.Content
-	// stream is the body of a request whose content is unknown until the body was read.
+	// stream is the streamed body of a request, whose content is unknown until enough of the
+	// body was read; nil if the content was known from the start.
 	stream    *hop.Body
 	startedAt time.Time
 	// brokenAt is when the exchange broke off; zero while it is in progress.
@@ -63,12 +65,13 @@
 	mu      sync.Mutex
 	running map[gate.Handle]*run
 	broken  []run
-	// exited: this process has exited, at exitedAt, and its runs were collected.
+	// exited is set once the process was found to have exited, at exitedAt, and its runs were
+	// collected.
 	exited   bool
 	exitedAt time.Time
-	// planned: the server is draining, so its exit is expected.
+	// planned is set while the server drains: an exit is then expected and not a crash.
 	planned bool
-	// checking: a goroutine is checking whether the server is up.
+	// checking is set while a goroutine checks whether the server is up.
 	checking bool
 }
 
@@ -81,8 +84,8 @@
 	t.running[handle] = r
 }
 
-// remove removes a run whose exchange did not break off. A response proves that the server is up,
-// whatever an earlier check found.
+// remove removes and returns a run whose exchange did not break off. Answered means that the
+// server responded, which proves that it is up, whatever an earlier check found.
 func (t *runTracker) remove(handle gate.Handle, answered bool) *run {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -102,7 +105,7 @@
 	if r == nil || t.exited && r.startedAt.Before(t.exitedAt) {
 		return false
 	}
-	// The exchange had a connection, so the server has restarted since.
+	// The exchange began after the exit and had a connection, so the server has restarted.
 	t.exited = false
 	r.brokenAt = time.Now()
 	t.broken = append(t.broken, *r)
@@ -112,8 +115,9 @@
 	return check
 }
 
-// confirmExit is called when the server accepts no connections. The server has exited
-// if no request is still running that began before the first exchange broke off.
+// confirmExit decides whether a server that accepts no connections has exited, and returns
+// the runs to report. An exit breaks off all exchanges, so a request that began before the
+// first one broke off and is still running shows that the server has not exited.
 func (t *runTracker) confirmExit() (runs []run, confirmed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -131,8 +135,9 @@
 	t.checking = false
 }
 
-// reset prepares for a new process of the server. Runs still in progress belong to the
-// previous process and must not count as running when the new one exits.
+// reset prepares for a new process of the server and returns the runs to report for the
+// previous one. Runs still in progress belong to the previous process and must not count as
+// running when the new process exits.
 func (t *runTracker) reset() (runs []run) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -142,7 +147,8 @@
 	return runs
 }
 
-// collectRuns returns the runs of an exited process, once; the caller must hold mu.
+// collectRuns returns the requests that were running when the process crashed. It returns
+// none if the exit was planned, or if they were collected before. The caller must hold mu.
 func (t *runTracker) collectRuns() []run {
 	if t.exited {
 		return nil
@@ -169,16 +175,16 @@
 	t.planned = planned
 }
 
-// exchangeBroke records an exchange that broke off, and starts a check whether the
-// server is up.
+// exchangeBroke records an exchange that broke off, and checks in the background whether the
+// server has crashed.
 func (e *Endpoint) exchangeBroke(handle gate.Handle) {
 	if e.tracker.markBroken(handle) {
 		go e.checkExit()
 	}
 }
 
-// checkExit checks whether the backend server has exited. If the checks are
-// inconclusive, the server's next announcement decides.
+// checkExit checks whether the backend server has crashed. If the checks are inconclusive,
+// the server's next announcement decides.
 func (e *Endpoint) checkExit() {
 	defer e.tracker.checkDone()
 	refusals := 0
@@ -197,8 +203,8 @@
 	}
 }
 
-// reportExit reports to the other nodes which requests ran on a backend server that
-// exited.
+// reportExit reports to the other nodes which requests were running on the backend server
+// when it crashed.
 func (e *Endpoint) reportExit(runs []run) {
 	if len(runs) == 0 {
 		return
@@ -226,10 +232,10 @@
 	}
 }
 
-// quarantinedFor returns for how long a request that is about to run is still
-// quarantined, or 0. The quarantine may have begun while the request waited. If a
-// server exited while it ran a streamed request with the same path, the beginning of
-// the body is read first, to identify the request.
+// quarantinedFor returns for how long a request that is about to run is still quarantined, or
+// 0 if it is not. It is checked again at this point because the quarantine may have begun
+// while the request waited. If a server crashed while it ran a request with the same path and
+// a streamed body, the beginning of the body is read first, to identify the content.
 func (e *Endpoint) quarantinedFor(r *run, out *hop.Outgoing) time.Duration {
 	if !r.content.Known() && e.options.Quarantine.Suspected(quarantine.PathOf(r.target)) {
 		out.Stream.ReadAhead(quarantine.PrefixBytes+1, out.Deadline)
@@ -247,8 +253,8 @@
 	return reply
 }
 
-// newRun returns the record of a request that is about to run. Requests with a streamed
-// body can be told apart only as the body is read.
+// newRun returns the record of a request that is about to run. The content of a request with
+// a streamed body is known only once the body is read.
 func (e *Endpoint) newRun(req hop.Request, out *hop.Outgoing) *run {
 	r := &run{attempt: req.ID, content: req.Content}
 	if out.Stream != nil && !r.content.Known() {
@@ -258,7 +264,8 @@
 	return r
 }
 
-// quarantineTarget returns what identifies a request without its body.
+// quarantineTarget returns the properties that, together with the body, identify a request's
+// content.
 func (e *Endpoint) quarantineTarget(out *hop.Outgoing) quarantine.Target {
 	target := quarantine.Target{Method: out.Method, Host: out.Host, URI: out.URI}
 	if field := e.options.Dialect.CallerService; field != "" {
--- a/internal/endpoint/ended_test.go
+++ b/internal/endpoint/ended_test.go
@@ -18,8 +18,8 @@
 	"cactuspath/internal/quarantine"
 )
 
-// crashingServer is a backend server that can exit with requests in progress, or reset
-// its connections without an exit. It responds only to requests for /quick.
+// crashingServer is a backend server that can crash with requests in progress, or reset its
+// connections without a crash. It responds only to requests for /quick.
 type crashingServer struct {
 	t       *testing.T
 	address string
@@ -62,7 +62,7 @@
 	}()
 }
 
-// track records a connection, unless the server has exited since it was accepted.
+// track records a connection, unless the server has crashed since it was accepted.
 func (s *crashingServer) track(listener net.Listener, c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,11 +157,11 @@
 
 func (s *crashFixture) exits() int { return int(s.counters.Ends.Value()) }
 
-// exitDetectionTime is longer than the detection of a server exit takes.
+// exitDetectionTime is longer than the gate takes to detect a crash.
 const exitDetectionTime = 4 * exitRefusals * exitCheckInterval
 
-// A request under which its server exits three times is quarantined. The gate must
-// therefore detect each exit exactly once, however it happens; a false detection would
+// A request is quarantined if servers crash three times while they run it. The gate must
+// therefore detect each crash exactly once, however it happens; a false detection would
 // quarantine harmless requests.
 func TestGateSeesItsServerEnd(t *testing.T) {
 	for _, c := range []struct {
@@ -197,9 +197,9 @@
 	}
 }
 
-// A server restarts while a request of its previous process is left over, then exits
-// again under another request. The first request must count for only one of the two
-// exits.
+// A server crashes and restarts while the gate still tracks a request sent to the previous
+// process. The new process then crashes while it runs another request. The first request must
+// count for only one of the two crashes.
 func TestRunOfPreviousProcessCountsOnce(t *testing.T) {
 	s := newCrashFixture(t)
 	s.startAttempt("/left")
@@ -217,9 +217,9 @@
 	assert.Equal(t, s.quarantine.QuarantinedFor(contentOf("/other")), time.Duration(0))
 }
 
-// A server exits three times under one request, while another request completes in
-// between. The first must be refused at once from then on, as not run; the other is
-// served.
+// A server crashes three times while it runs one request, and completes another request in
+// between. From then on the first request must be refused at once, as not run, and the other
+// must still be served.
 func TestGateQuarantinesRequestThatCrashesItsServer(t *testing.T) {
 	s := newCrashFixture(t)
 	for i := range 3 {
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -1,6 +1,6 @@
-// Package endpoint drives the gate beside one backend server: it queues requests,
-// forwards those that may run, and exchanges load reports with the gates of the same
-// service.
+// Package endpoint runs the gate of one backend server, which decides when a request may run
+// there. It queues requests, forwards those that may run, and exchanges load reports with the
+// gates of the service's other backend servers.
 package endpoint
 
 import (
@@ -47,8 +47,8 @@
 	Overload *overload.Monitor
 }
 
-// Endpoint is the gate of one backend server with its driver. It is safe for concurrent
-// use.
+// Endpoint is the gate of one backend server, with the timers and connections that it needs.
+// It is safe for concurrent use.
 type Endpoint struct {
 	options Options
 	start   time.Time
@@ -56,8 +56,8 @@
 	mu      sync.Mutex
 	gate    *gate.Gate
 	waiters map[gate.Handle]chan gate.Event
-	// hints are called with the host of a sibling that would finish a running request
-	// sooner.
+	// hints are the functions to call with the host of a sibling that would finish a running
+	// request sooner.
 	hints      map[gate.Handle]func(to string)
 	lastHandle gate.Handle
 	timer      *time.Timer
@@ -67,8 +67,8 @@
 	tracker *runTracker
 
 	stopWatch context.CancelFunc
-	// serverCtx is canceled when the present process of the backend server is known to
-	// be gone.
+	// serverCtx is canceled when the current process of the backend server is known to have
+	// ended.
 	serverCtx       context.Context
 	cancelServerCtx context.CancelFunc
 
@@ -85,13 +85,13 @@
 	// loadQuery is closed when the load query in progress ends; nil if there is none.
 	// It is guarded by mu.
 	loadQuery chan struct{}
-	// loadOverdue: the backend server did not report its load in time when last
-	// queried.
+	// loadOverdue is set if the backend server did not respond to the last load query in
+	// time.
 	loadOverdue atomic.Bool
 	// lastResponse is when the backend server last sent any response.
 	lastResponse atomic.Int64
 	dialFailures atomic.Int32
-	// evacuated: the operator has evacuated this data centre.
+	// evacuated is set while this data centre is evacuated by the operator.
 	evacuated atomic.Bool
 	down      atomic.Bool
 }
@@ -214,8 +214,9 @@
 	})
 }
 
-// Revoke revokes an attempt whose response was lost and reports whether it ran; one that
-// has not started will not run.
+// Revoke revokes an attempt that was sent the given time ago and whose response was lost. It
+// reports whether the attempt ran. An attempt that the gate has not started is never started
+// afterwards.
 func (e *Endpoint) Revoke(id gate.AttemptID, sentAgo time.Duration) gate.RevokeAnswer {
 	var answer gate.RevokeAnswer
 	e.runGate(func(now time.Duration) (events []gate.Event) {
@@ -232,18 +233,19 @@
 	return e.gate.InFlight()
 }
 
-// Load returns the gate's view of its backend server.
+// Load returns the gate's current estimate of its backend server's load.
 func (e *Endpoint) Load() gate.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.gate.Load(e.now())
 }
 
-// Attempt admits a request and, if it may run, forwards it. The response is nil unless
-// the reply's verdict is Ran; its body must be read or closed.
+// Attempt submits a request to the gate and, if the gate lets it run, forwards it to the
+// backend server. The response is nil unless the reply's verdict is Ran; its body must be
+// read or closed.
 //
-// OnHint may be nil. It is called from other goroutines, while the request runs, with
-// the host of a sibling that would finish it sooner.
+// OnHint may be nil. It is called from other goroutines while the request runs, with the host
+// of a sibling that would finish it sooner, or with hop.AnyHost if any other endpoint would.
 func (e *Endpoint) Attempt(ctx context.Context, req hop.Request, out *hop.Outgoing, onHint func(to string)) (*http.Response, hop.Reply) {
 	e.options.ObserveRevision(req.Revision)
 	reply := e.newReply(req)
@@ -320,7 +322,8 @@
 	return handle, e.awaitDecision(ctx, handle, ch)
 }
 
-// awaitDecision waits for the gate's decision on a request.
+// awaitDecision waits for the gate's decision on a request, and cancels the request at the
+// gate if ctx ends first.
 func (e *Endpoint) awaitDecision(ctx context.Context, handle gate.Handle, ch <-chan gate.Event) gate.Event {
 	select {
 	case event := <-ch:
@@ -331,15 +334,15 @@
 	case event := <-ch:
 		return event
 	case <-ctx.Done():
-		// The gate may have started the request meanwhile. It runs then, and forward
-		// ends it, since it uses the same context.
+		// The gate may have started the request in the meantime. It is then passed to
+		// forward, which ends it because it uses the same context.
 		e.runGate(func(now time.Duration) []gate.Event { return e.gate.Cancel(now, handle) })
 		return <-ch
 	}
 }
 
-// reconsider has the gate decide again, with fresh load, on a started request whose
-// body has arrived.
+// reconsider makes the gate decide again, with a fresh load report, on a request that it
+// started and whose body has been received since.
 func (e *Endpoint) reconsider(ctx context.Context, handle gate.Handle) gate.Event {
 	e.refreshLoad(ctx)
 	ch := make(chan gate.Event, 1)
--- a/internal/endpoint/forward.go
+++ b/internal/endpoint/forward.go
@@ -16,7 +16,8 @@
 
 // Forwards one request to the backend server and its response back.
 
-// forward sends a started request to the backend server.
+// forward sends a request that the gate has started to the backend server and returns the
+// response.
 func (e *Endpoint) forward(ctx context.Context, handle gate.Handle, req hop.Request, out *hop.Outgoing, reply hop.Reply) (*http.Response, hop.Reply) {
 	pool := e.backend.Load()
 	if pool == nil {
@@ -77,8 +78,9 @@
 		end()
 		switch {
 		case truncated && ctx.Err() != nil, serverCtx.Err() != nil:
-			// Also if the server has restarted: the gate's estimates are those of the
-			// new process. A complete response counts even if the caller has left since.
+			// The caller has disconnected, or the server has restarted: the gate's estimates
+			// are then those of the new process, to which this request does not contribute. A
+			// complete response counts even if the caller has disconnected since.
 			outcome = gate.Abandoned
 		case truncated:
 			outcome = gate.Failed
@@ -112,9 +114,9 @@
 	}
 }
 
-// bufferBody returns the request with its body read into memory, if the body is of
-// moderate length. Until then the backend server has seen nothing of the request: if
-// the sender breaks off, the request has not run, and its outcome is not unknown.
+// bufferBody returns the request with its body read into memory, if the body is of moderate
+// length. Until then the backend server has received nothing of the request. If the sender
+// fails within the body, it is therefore certain that the request has not run.
 func (e *Endpoint) bufferBody(out *hop.Outgoing) (*hop.Outgoing, error) {
 	if out.Stream == nil || out.Length <= 0 || out.Length > maxBuffered {
 		return out, nil
@@ -147,8 +149,9 @@
 	e.runGate(func(now time.Duration) []gate.Event { return e.gate.ObserveSlowdown(now, load.Slowdown) })
 }
 
-// backendRequest returns the request as it is sent to the backend server: with the time
-// left after the wait, and for the instance that this gate serves.
+// backendRequest returns the request as it is sent to the backend server. Its timeout field
+// holds the time left, which no longer includes the time spent waiting at the gate. If the
+// dialect has a field for it, the request also names the server instance that must run it.
 func (e *Endpoint) backendRequest(out *hop.Outgoing, left time.Duration) *hop.Outgoing {
 	request := *out
 	dialect := e.options.Dialect
@@ -160,7 +163,8 @@
 	return &request
 }
 
-// handleRejection handles a response which says that the request did not run.
+// handleRejection discards a response which states that the backend server did not run the
+// request, and returns the reply to send instead.
 func (e *Endpoint) handleRejection(handle gate.Handle, resp *http.Response, reply hop.Reply) hop.Reply {
 	_, _ = io.Copy(io.Discard, resp.Body)
 	_ = resp.Body.Close()
@@ -172,6 +176,7 @@
 	return reply
 }
 
+// handleFailure records that the backend server sent no response head, and returns the reply.
 func (e *Endpoint) handleFailure(ctx, serverCtx context.Context, handle gate.Handle, err error, reply hop.Reply) hop.Reply {
 	var dialErr *hop.DialError
 	switch {
--- a/internal/endpoint/interim_test.go
+++ b/internal/endpoint/interim_test.go
@@ -69,9 +69,9 @@
 	assert.Equal(t, continues, 1)
 }
 
-// The same on a real connection: the caller's node expects 100 Continue, gets hints and
-// then sends its body. A tenth of such exchanges were unreadable or hung when both were
-// written at once.
+// Guards against concurrent interim responses on a real connection, where the caller's node
+// expects 100 Continue, gets hints and then sends its body. If hints and 100 Continue are
+// written at the same time, a tenth of such exchanges are unreadable or hang.
 func TestExchangeWithHintsAndBodyIsReadable(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		interim := &interimResponses{w: w}
--- a/internal/endpoint/load_test.go
+++ b/internal/endpoint/load_test.go
@@ -59,7 +59,7 @@
 
 var attempts atomic.Uint64
 
-// attempt sends a request with an aim of 300 ms, which the gate takes for 100 ms of work,
+// attempt sends a request with an aim of 300 ms, for which the gate assumes 100 ms of work,
 // and returns the verdict.
 func attempt(e *Endpoint) hop.Verdict {
 	id := gate.AttemptID{Request: [2]uint64{7, attempts.Add(1)}, Attempt: 1}
@@ -71,9 +71,9 @@
 	return reply.Verdict
 }
 
-// Another workload takes up the server's host just before a request arrives. With the
-// load report of a moment before, the request would start and run at the slow pace
-// until its caller's timeout. The gate must query the load first and move the request
+// Another workload slows down the server's host just before a request arrives. If the gate
+// relied on the load report from before that, it would start the request, which would run
+// slowly until the caller's timeout. The gate must query the load first and move the request
 // to a sibling.
 func TestServerIsAskedBeforeRequestStarts(t *testing.T) {
 	s := newLoadServer(t)
@@ -95,8 +95,8 @@
 	return e.gate.Speed(e.now())
 }
 
-// Ten requests arrive at the same moment. One load query must serve them all: more
-// would use up the server's limited connections.
+// Ten requests arrive at the same time. One load query must serve them all: more would use up
+// the server's limited connections.
 func TestOneLoadQueryServesAllWaitingRequests(t *testing.T) {
 	s := newLoadServer(t)
 	e := newLoadEndpoint(t, s)
@@ -111,8 +111,9 @@
 	assert.Assert(t, s.queries.Load()-before <= 2, "%d load queries", s.queries.Load()-before)
 }
 
-// The server's load query hangs while requests are served. The first request waits a
-// short while, the next ones not at all, until the server reports its load again.
+// A server does not respond to load queries but still serves requests. The first request
+// waits for the load report until a short timeout. Later requests must not wait at all until
+// the server reports its load again.
 func TestUnresponsiveServerHoldsUpNobodyTwice(t *testing.T) {
 	s := newLoadServer(t)
 	e := newLoadEndpoint(t, s)
--- a/internal/endpoint/restart_test.go
+++ b/internal/endpoint/restart_test.go
@@ -34,7 +34,7 @@
 	case reply := <-ended:
 		assert.Equal(t, reply.Verdict, hop.ConnectionLost)
 	case <-time.After(5 * time.Second):
-		t.Fatal("the request still waits for a server process that is gone")
+		t.Fatal("the request still waits for a server process that has ended")
 	}
 	assert.Equal(t, e.Load().Running, 0)
 	assert.Equal(t, e.Revoke(id, time.Second), gate.RevokeFinished)
--- a/internal/endpoint/serve.go
+++ b/internal/endpoint/serve.go
@@ -30,8 +30,8 @@
 	}
 	bufferLimit := maxBuffered
 	if hop.ExpectsContinue(r.Header) {
-		// The sender holds the body back until it is read, which happens only if the
-		// gate lets the request run.
+		// The sender waits for 100 Continue before it sends the body. It is sent when the
+		// body is first read, which happens only if the gate lets the request run.
 		bufferLimit = 0
 	}
 	interim := &interimResponses{w: w}
@@ -48,9 +48,9 @@
 	}
 	resp, reply := e.admitAndAttempt(r.Context(), req, out, interim.hint)
 	if resp != nil && bufferLimit == 0 && out.Stream != nil && out.Stream.InUse() {
-		// The backend server responds while or before it reads the body. The body's
-		// sender may not have sent 100 Continue yet, and it cannot be sent after the
-		// response header.
+		// The backend server responds while or before it reads the body. The goroutine that
+		// forwards the body may not have sent 100 Continue yet, which cannot be sent after
+		// the response header.
 		interim.sendContinue()
 	}
 	interim.end()
@@ -88,15 +88,15 @@
 const lingerTimeout = 500 * time.Millisecond
 
 // linger makes net/http read on for a while after the response before it closes the
-// connection. Closing with unread bytes resets the connection, and the part of the
-// response still in transit is lost. It also replaces the deadline in the past that is
-// set to wake the body's sender.
+// connection. Closing with unread bytes resets the connection, and the part of the response
+// still in transit is lost. It also replaces the deadline in the past that is set to
+// interrupt the goroutine that forwards the body.
 func linger(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
-// continueBody is a body that its sender holds back until 100 Continue. The first read
-// sends it.
+// continueBody is a request body whose sender waits for 100 Continue. The first read sends
+// 100 Continue.
 type continueBody struct {
 	io.ReadCloser
 	interim *interimResponses
--- a/internal/endpoint/silence_test.go
+++ b/internal/endpoint/silence_test.go
@@ -64,10 +64,10 @@
 	t.Fatal("not in time: ", what)
 }
 
-// The backend server stops responding while two requests run. The caller of the
-// repeatable one must get a hint within a second to try another endpoint; both requests
-// keep waiting here. New requests are refused as not run until the server responds
-// again.
+// The backend server stops responding while it runs two requests, one of them repeatable. The
+// caller of the repeatable one must get a hint within a second to try another endpoint;
+// neither request is canceled. New requests must be refused as not run until the server
+// responds again.
 func TestCallersOfSilentServerGetHint(t *testing.T) {
 	s := startSilentServer(t)
 	dialect := &hop.Dialect{Load: "X-Load", ParseLoad: func(string) (hop.ServerLoad, bool) { return hop.ServerLoad{Slots: 4, Slowdown: 1}, true }}
--- a/internal/endpoint/watch.go
+++ b/internal/endpoint/watch.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// loadQueryInterval is how often the backend server's load is queried when no
-	// response has reported it. Server speed changes about every half second; the
-	// interval keeps the time that requests go to a server which just turned slow below
-	// a third of that, at ten small requests a second that never leave the host.
+	// loadQueryInterval is how often the backend server's load is queried when no response
+	// has reported it. A server's speed changes about every half second. At this interval,
+	// requests are sent to a server that has just become slow for less than a third of that
+	// time. The cost is ten small requests a second, which never leave the host.
 	loadQueryInterval = 100 * time.Millisecond
 	// loadQueryTimeout bounds one load query, so that queries to a server that hangs do
 	// not accumulate.
 	loadQueryTimeout = 300 * time.Millisecond
-	// silenceTimeout is how long a backend server may send nothing, neither responses
-	// to load queries nor to requests, before it counts as down. It responds to load
-	// queries at once however busy it is; two queries without a response are no
+	// silenceTimeout is how long a backend server may send nothing, neither responses to load
+	// queries nor to requests, before it is considered down. A working server responds to
+	// load queries at once, however busy it is, so two queries without a response are not a
 	// coincidence.
 	silenceTimeout = 800 * time.Millisecond
 )
@@ -58,23 +58,24 @@
 	}
 }
 
-// coldQueryInterval is how often a backend server that reports how long it stays cold
-// is queried, since only health responses tell. A busy server gets a dozen requests in
-// that time, half of what a cold one can take in a second.
+// coldQueryInterval is how often a backend server is queried that reports the remaining
+// duration of its cold start, which only health responses contain. In this interval a busy
+// server gets a dozen requests, half of what a cold server can run in a second.
 const coldQueryInterval = 200 * time.Millisecond
 
-// evacuatedQueryInterval is how often a backend server that gets no requests is
-// queried, only to see that it is up.
+// evacuatedQueryInterval is how often a backend server in an evacuated data centre is
+// queried. It gets no requests, so the query only checks that it is up.
 const evacuatedQueryInterval = time.Second
 
-// coldReportOverdue reports whether a server that is known to report how long it stays
-// cold has not done so for coldQueryInterval.
+// coldReportOverdue reports whether a server that has reported the remaining duration of its
+// cold start before has not done so for coldQueryInterval.
 func (e *Endpoint) coldReportOverdue() bool {
 	heard := e.coldReportedAt.Load()
 	return heard > 0 && e.now()-time.Duration(heard) >= coldQueryInterval
 }
 
-// observeCold passes the cold time reported in a health response to the gate.
+// observeCold passes the remaining duration of the cold start, as reported in a health
+// response, to the gate.
 func (e *Endpoint) observeCold(h http.Header) {
 	dialect := e.options.Dialect
 	if dialect.Cold == "" || dialect.ParseCold == nil {
@@ -92,19 +93,20 @@
 func (e *Endpoint) loadAge() time.Duration { return e.now() - time.Duration(e.loadReportedAt.Load()) }
 
 const (
-	// maxLoadAge is how old the load report may be when a request arrives. A server
-	// whose speed changes every half second turns slow within that time for one start
-	// in 200. At 100 ms, one start in 40 was made on a server that had just turned
-	// slow, and timed out where requests keep the pace at which they start. Responses
-	// report the load as well, so that at most 50 queries a second are sent.
+	// maxLoadAge is how old the load report may be when a request arrives. If a server's
+	// speed changes every half second, one request in 200 starts on a server that became slow
+	// after its last report. With a limit of 100 ms it is one request in 40, and such a
+	// request times out if it keeps the speed at which it starts. Responses report the load
+	// as well, so that at most 50 queries a second are sent.
 	maxLoadAge = 20 * time.Millisecond
-	// maxLoadWait bounds how long a request waits for a load report. The report comes
-	// from the same host, at once however busy the server is.
+	// maxLoadWait bounds how long a request waits for a load report. The report comes from
+	// the same host, and a working server sends it at once, however busy it is.
 	maxLoadWait = 25 * time.Millisecond
 )
 
-// refreshLoad queries the load before a request is decided on, unless the last report
-// is fresh. A server that did not respond in time to the last query is not waited for.
+// refreshLoad queries the load before the gate decides on a request, unless the last report
+// is younger than maxLoadAge. It does not wait for a server that did not respond to the last
+// query in time.
 func (e *Endpoint) refreshLoad(ctx context.Context) {
 	if e.options.Dialect.Load == "" || e.loadOverdue.Load() || e.loadAge() < maxLoadAge {
 		return
@@ -131,10 +133,9 @@
 // markResponsive records that the backend server sent a response.
 func (e *Endpoint) markResponsive() { e.lastResponse.Store(int64(e.now())) }
 
-// checkSilence marks the backend server as down if it has sent nothing for
-// silenceTimeout. The callers of repeatable requests that run there get a hint to try
-// another endpoint as well; the requests continue here, in case the server still
-// responds.
+// checkSilence marks the backend server as down if it has sent nothing for silenceTimeout.
+// The callers of repeatable requests that are running on it get a hint to try another
+// endpoint as well; the requests are not canceled, in case the server still responds.
 func (e *Endpoint) checkSilence() {
 	silence := e.now() - time.Duration(e.lastResponse.Load())
 	if silence < silenceTimeout || e.down.Load() {
@@ -181,8 +182,9 @@
 	e.options.Counters.Probes.Add(1)
 	resp, err := pool.Do(ctx, &hop.Outgoing{Method: http.MethodGet, URI: path, Host: pool.Address(), Header: http.Header{}, Deadline: time.Now().Add(loadQueryTimeout)})
 	if err != nil {
-		// Requests detect a broken connection themselves, and a missing report only
-		// ages. Silence differs: requests would wait until their deadlines.
+		// Most errors need no action: requests detect a broken connection themselves, and
+		// without a new report the last one only becomes older. A timeout may mean that the
+		// server is silent; requests to such a server would wait until their deadlines.
 		if isTimeout(err) {
 			e.checkSilence()
 		}
