--- a/internal/hop/conn.go
+++ b/internal/hop/conn.go
@@ -23,9 +23,10 @@
 	// shorter than the idle timeout of the servers, so that a connection is rarely closed
 	// while a request is being sent on it.
 	backendIdleTimeout = 30 * time.Second
-	// peerIdleTimeout is the same for connections between nodes. A node of a large fleet
-	// calls many others occasionally; each idle connection costs 12 KB of memory, both ends
-	// together (BenchmarkIdleConnection), a new one a round trip.
+	// peerIdleTimeout is how long an idle connection to another node is kept. A node of a
+	// large fleet calls many others occasionally. Each idle connection costs 12 KB of memory,
+	// both ends together (BenchmarkIdleConnection), whereas opening a new one costs only a
+	// round trip.
 	peerIdleTimeout = 5 * time.Second
 	maxIdleConns    = 256
 )
@@ -40,19 +41,23 @@
 
 	mu   sync.Mutex
 	idle []*conn
-	// reaper closes connections that were idle for too long; nil if there are no idle ones.
+	// reaper closes connections that were idle for too long; nil if there are no idle
+	// connections.
 	reaper *time.Timer
 	closed bool
-	// oneWayDelay is half of the shortest time in which a connection was opened.
+	// oneWayDelay is half of the shortest time that opening a connection took; 0 before the
+	// first one.
 	oneWayDelay time.Duration
 }
 
-// NewPool returns an empty pool; security is nil for plain text.
+// NewPool returns an empty pool of connections to a backend server; security is nil for plain
+// text.
 func NewPool(address string, security *transport.Security) *Pool {
 	return &Pool{address: address, security: security, maxIdleTime: backendIdleTimeout}
 }
 
-// NewPeerPool returns a pool of connections to another node.
+// NewPeerPool returns an empty pool of connections to another node; security is nil for plain
+// text.
 func NewPeerPool(address string, security *transport.Security) *Pool {
 	return &Pool{address: address, security: security, maxIdleTime: peerIdleTimeout}
 }
@@ -77,9 +82,9 @@
 	wouldBlock bool
 }
 
-// Buffers are shared, because few connections of a large fleet are in use at any moment.
-// An idle connection takes 12 KB, both ends together, and took 17 KB with its own buffers
-// (BenchmarkIdleConnection).
+// Buffers are shared by all connections, because in a large fleet few connections are in use
+// at any moment. An idle connection takes 12 KB, both ends together; with buffers of its own
+// it would take 17 KB (BenchmarkIdleConnection).
 var (
 	readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, bufferSize) }}
 	writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
@@ -92,8 +97,8 @@
 	c.writer.Reset(c.Conn)
 }
 
-// returnBuffers returns the buffers to their pools. Both are empty after an exchange that
-// left the connection reusable.
+// returnBuffers returns the buffers to the shared pools. No data is lost, because both
+// buffers are empty after an exchange that left the connection reusable.
 func (c *conn) returnBuffers() {
 	c.reader.Reset(nil)
 	c.writer.Reset(nil)
@@ -147,7 +152,8 @@
 	return c
 }
 
-// Reachable reports whether the address accepts a connection.
+// Reachable reports whether the address accepts a new connection, which is then kept in the
+// pool.
 func (p *Pool) Reachable() bool {
 	c, err := p.dial(context.Background())
 	if err != nil {
@@ -204,7 +210,8 @@
 	}
 }
 
-// OneWayDelay returns the measured one-way delay, or 0 before the first connection.
+// OneWayDelay returns the estimated one-way network delay to the address, which is half of
+// the shortest time that opening a connection took; 0 before the first connection.
 func (p *Pool) OneWayDelay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/hop/dialect.go
+++ b/internal/hop/dialect.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Dialect names the header fields that callers and backend servers use. A field with an
-// empty name is neither read nor sent. The zero Dialect is this project's own, in which
-// only the remaining time has a name.
+// Dialect names the header fields that callers and backend servers use. A field with an empty
+// name is neither read nor sent. The zero Dialect is this project's own; it has only the
+// field with the remaining time, TimeoutHeader.
 type Dialect struct {
 	// RequestID identifies a request; backend servers return it in the response.
 	RequestID string
@@ -18,7 +18,8 @@
 	ExpectInstance string
 	// Instance names the instance that sent the response.
 	Instance string
-	// CallerService names the service of the host where the request began.
+	// CallerService names the calling service, that is, the service of the host where the
+	// request originated.
 	CallerService string
 	// NotRun marks a response to a request that the backend server did not run.
 	NotRun string
@@ -35,6 +36,8 @@
 
 // ServerLoad is the load that a backend server reports in a response.
 type ServerLoad struct {
+	// Running and Waiting are the numbers of requests that run and wait in the server, Slots
+	// is the number that it can run at the same time.
 	Running, Waiting, Slots int
 	// Slowdown is the current service time as a multiple of the usual one.
 	Slowdown float64
@@ -48,7 +51,8 @@
 	return d.Timeout
 }
 
-// TimeoutField returns the name of the field with the remaining time.
+// TimeoutField returns the name of the field with the remaining time, which is TimeoutHeader
+// unless Timeout is set.
 func (d *Dialect) TimeoutField() string { return d.timeoutHeader() }
 
 // SanitizeRequest removes the fields that callers may not set, and sets the calling
@@ -64,7 +68,8 @@
 	}
 }
 
-// ReportsNotRun reports whether a response states that the request was not run.
+// ReportsNotRun reports whether a response states that the request was not run, or comes from
+// another instance, which does not run it either.
 func (d *Dialect) ReportsNotRun(resp *http.Response) bool {
 	if d.NotRun == "" {
 		return false
--- a/internal/hop/exchange.go
+++ b/internal/hop/exchange.go
@@ -23,14 +23,16 @@
 	Extra []Field
 	// Buffered is a body held in memory; it can be sent again.
 	Buffered []byte
-	// Stream is a body that can be read only once, of Length bytes, or of unknown length if
-	// Length is negative. It is sent only after the peer requested it (100 Continue).
+	// Stream is a body that can be read only once. It has Length bytes, or an unknown number
+	// if Length is negative. It is sent only after the peer has requested it with 100
+	// Continue, unless SkipContinue is set.
 	Stream *Body
 	Length int64
 	// SkipContinue sends a streamed body at once, without waiting for 100 Continue.
 	SkipContinue bool
-	// IDField and ID: a response with another ID in this field belongs to an earlier request
-	// and is discarded. If IDField is empty, this is not checked.
+	// IDField is the header field in which a response repeats the ID of its request; ID is
+	// that of this request. A response with another ID belongs to an earlier request and is
+	// discarded. If IDField is empty, responses are not checked.
 	IDField, ID string
 	// OnInterim, if not nil, is called with the header of each interim (1xx) response.
 	OnInterim func(http.Header)
@@ -53,8 +55,8 @@
 // Field is one header field.
 type Field struct{ Name, Value string }
 
-// LostError means that the request was sent, completely or in part, and no response was
-// received: it may have run.
+// LostError means that the request was sent, completely or in part, but no response was
+// received. The request may have run.
 type LostError struct {
 	Err error
 	// Reused is set if the connection had carried earlier requests.
@@ -73,7 +75,7 @@
 var aLongTimeAgo = time.Unix(1, 0)
 
 // Do sends the request and returns the response head; the body must be read to its end or
-// closed. The error is a *DialError if nothing was sent.
+// closed. The error is a *DialError if nothing was sent, and otherwise a *LostError.
 func (p *Pool) Do(ctx context.Context, out *Outgoing) (*http.Response, error) {
 	c, err := p.get(ctx)
 	if err != nil {
@@ -102,8 +104,8 @@
 	pool *Pool
 	conn *conn
 	stop func() bool
-	// sender sends a streamed body once the peer requested it. Its goroutine has ended when
-	// the exchange ends.
+	// sender sends a streamed body once the peer has requested it; nil before that. Its
+	// goroutine ends before the exchange does, unless its source cannot be interrupted.
 	sender     *sender
 	unusable   bool
 	mismatched int
--- a/internal/hop/header.go
+++ b/internal/hop/header.go
@@ -29,7 +29,8 @@
 	// HintHeader is sent in an interim response (102) and names the host that would complete
 	// the request sooner.
 	HintHeader = "Cactus-Hint"
-	// AnyHost is a hint that names no host: any other endpoint is suitable.
+	// AnyHost is the value of a hint that names no particular host, because any other
+	// endpoint is suitable.
 	AnyHost = "*"
 
 	version   = "3"
@@ -45,35 +46,40 @@
 // Request is the metadata that the node that picked an endpoint sends to the endpoint's node.
 type Request struct {
 	ID gate.AttemptID
-	// Incarnation identifies the process that the attempt is addressed to. A node that
-	// restarted since refuses it, because it lost its record of earlier attempts.
+	// Incarnation identifies the process of the endpoint's node to which the attempt is
+	// addressed. A node that has restarted since then refuses the attempt, because it has
+	// lost its record of earlier attempts.
 	Incarnation uint64
 	// Timeout is the remaining time of the request. It is relative, so that clocks need not
 	// be synchronized.
 	Timeout time.Duration
+	// Movable means that the gate may move the request to another endpoint.
 	Movable bool
-	// Repeatable means that the request may run twice. The gate then names a sibling that
-	// would complete it sooner, by OnHint or an interim response.
+	// Repeatable means that the request may run twice. While it runs, the gate may then hint
+	// at a sibling that would complete it sooner. To another node, the hint is sent in an
+	// interim response.
 	Repeatable bool
 	// Revision is the newest configuration revision known to the sender.
 	Revision uint64
-	// From is the data centre where the request began, LargeBody marks a large body.
+	// From is the data centre where the request originated. LargeBody is set if the request
+	// has a large body.
 	From      string
 	LargeBody bool
-	// Class is the route's name; requests of one class have similar service demands.
+	// Class is the route's name. Requests of one class need similar amounts of work.
 	Class string
 	// Priority ranks the request; 0 is served first.
 	Priority int
 	// Aim is the target latency, within which a response is worth most. AimLeft is what
 	// remains of it, which may be negative. Both are 0 without a target.
 	Aim, AimLeft time.Duration
-	// Content identifies what is requested; zero while the body is not known.
+	// Content identifies the request's content for quarantine; zero while the body is not
+	// known.
 	Content quarantine.Content
 	// Caller identifies the sender, for fair sharing between callers.
 	Caller string
 }
 
-// Encode returns the header's value.
+// Encode formats the request as a value of Header.
 func (r Request) Encode() string {
 	flags := uint64(0)
 	if r.Movable {
@@ -136,7 +142,7 @@
 	return f, nil
 }
 
-// ParseRequest parses the header's value.
+// ParseRequest parses a value of Header in a request.
 func ParseRequest(value string) (Request, error) {
 	f, err := splitFields(value, requestFields)
 	if err != nil {
@@ -151,7 +157,7 @@
 	return r, p.err
 }
 
-// FormatID formats an attempt's ID.
+// FormatID formats an attempt's ID as in Header and in the log.
 func FormatID(id gate.AttemptID) string { return string(appendID(nil, id)) }
 
 // parser parses fields and keeps the first error.
@@ -203,11 +209,13 @@
 const (
 	// Ran means that the response is that of the backend server.
 	Ran Verdict = iota
-	// Refused means that the gate refused the attempt before it ran.
+	// Refused means that the gate refused the attempt, so it did not run.
 	Refused
-	// Moved means that the gate names a sibling; the attempt did not run here.
+	// Moved means that the attempt did not run here, and that the gate names a sibling to
+	// which the request should be sent instead.
 	Moved
-	// Restarted means that the node is another incarnation than the one addressed.
+	// Restarted means that the node has restarted since the incarnation to which the attempt
+	// was addressed; the attempt did not run.
 	Restarted
 	// Unreachable means that the backend server accepted no connection; the attempt did not
 	// run.
@@ -229,17 +237,19 @@
 	ID      gate.AttemptID
 	Verdict Verdict
 	Reason  gate.Reason
-	// RetryAfter is the delay before a retry after a refusal.
+	// RetryAfter is the recommended delay before a refused request is sent again.
 	RetryAfter time.Duration
-	// SiblingsFull means that the siblings are equally full.
+	// SiblingsFull means that the service's other endpoints would refuse the request as well,
+	// so it should not be retried there.
 	SiblingsFull bool
 	// To is the sibling's host if the verdict is Moved.
 	To string
-	// Incarnation and Revision are those of the responding node.
+	// Incarnation identifies the process of the responding node, Revision is the newest
+	// configuration revision known to it.
 	Incarnation, Revision uint64
 }
 
-// Encode returns the header's value.
+// Encode formats the reply as a value of Header.
 func (r Reply) Encode() string {
 	siblingsFull := uint64(0)
 	if r.SiblingsFull {
@@ -259,7 +269,7 @@
 	return string(b)
 }
 
-// ParseReply parses the header's value.
+// ParseReply parses a value of Header in a response.
 func ParseReply(value string) (Reply, error) {
 	f, err := splitFields(value, 9)
 	if err != nil {
--- a/internal/hop/hop_test.go
+++ b/internal/hop/hop_test.go
@@ -188,8 +188,9 @@
 	t.Fatal("the idle connection was not closed")
 }
 
-// If no one listens, nothing was sent, and the error must say so. If the connection breaks
-// after the request was sent, the request may have run.
+// If nothing listens on the address, nothing was sent, and the error must be a DialError. If
+// the connection breaks after the request was sent, the request may have run, and the error
+// must be a LostError.
 func TestErrorsTellWhetherAnythingWasSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/internal/hop/mismatch_test.go
+++ b/internal/hop/mismatch_test.go
@@ -65,8 +65,8 @@
 	return string(body), err
 }
 
-// A second response to an earlier request arrives in place of the next one. The caller must
-// get its own response, and the connection must not be reused.
+// A second response to an earlier request arrives before the response to the next request.
+// The caller must get its own response, and the connection must not be reused.
 func TestResponseToAnotherRequestIsDiscarded(t *testing.T) {
 	address, connections := scriptedServer(t, okResponse("old", "not yours")+okResponse("mine", "yours"), okResponse("next", "fresh"))
 	p := newTestPool(t, address)
--- a/internal/hop/relay.go
+++ b/internal/hop/relay.go
@@ -28,8 +28,9 @@
 	}
 }
 
-// CleanRequest also removes the fields that only this project's processes may set, and
-// those that the sender to the next hop sets itself.
+// CleanRequest removes from a request the hop-by-hop fields, the field that only this
+// project's processes may set (Header), and the fields that are set anew when the request is
+// sent to the next hop.
 func CleanRequest(h http.Header) {
 	CleanHeader(h)
 	delete(h, Header)
@@ -41,8 +42,8 @@
 
 var copyBuffers = sync.Pool{New: func() any { b := make([]byte, copyBufferSize); return &b }}
 
-// TruncatedResponseError means that a response ended prematurely. The receiver must see a
-// broken connection and never a body that looks complete.
+// TruncatedResponseError means that a response ended prematurely. The receiver must not take
+// the truncated body for a complete one, so the connection to it must be broken off.
 type TruncatedResponseError struct{ Err error }
 
 // Error returns the cause.
@@ -51,9 +52,9 @@
 // Unwrap returns the cause.
 func (e *TruncatedResponseError) Unwrap() error { return e.Err }
 
-// Relay writes a response's head, body and trailers to w and closes the body. The error is a
-// *TruncatedResponseError if the response ended prematurely; the caller must then abort its
-// own response.
+// Relay writes a response's head with the extra fields, its body and its trailers to w, and
+// closes the body. The error is a *TruncatedResponseError if the response ended prematurely;
+// the caller must then abort its own response.
 func Relay(w http.ResponseWriter, resp *http.Response, extra ...Field) error {
 	defer resp.Body.Close()
 	CleanHeader(resp.Header)
@@ -78,8 +79,8 @@
 	return nil
 }
 
-// copyBody copies the body. One of unknown length is flushed after every read, because it
-// may be a stream whose reader waits for each part.
+// copyBody copies the body. A body of unknown length is flushed after every read, because it
+// may be a stream whose receiver waits for each part.
 func copyBody(w http.ResponseWriter, resp *http.Response) error {
 	buffer := copyBuffers.Get().(*[]byte)
 	writeFailed := false
--- a/internal/hop/upload.go
+++ b/internal/hop/upload.go
@@ -15,13 +15,13 @@
 	"cactuspath/internal/logs"
 )
 
-// A streamed body is sent by a goroutine of its own, concurrently with reading the
-// response, since the response may arrive first. This goroutine uses three things that
-// outlive the exchange: the caller's connection that it reads, the 100 Continue that
-// requests the body from the caller, and the connection that it writes. If it started or
-// kept running after the end of its exchange, it took bytes out of the body that the next
-// attempt sent, and the next server got a body with a gap. An exchange therefore ends only
-// after its sender has: every way to end an exchange calls sender.stopAndWait.
+// A streamed body is sent by a goroutine of its own, concurrently with reading the response,
+// since the response may arrive first. This goroutine uses three things that outlive the
+// exchange: the caller's connection that it reads, the 100 Continue that requests the body
+// from the caller, and the connection that it writes. If it started or continued to run after
+// the end of its exchange, it would take bytes out of the body that the next attempt sends,
+// and the next server would receive a body with a gap. An exchange therefore ends only after
+// its sender has ended: every way to end an exchange calls sender.stopAndWait.
 
 // Body is a request body that can be read only once, as it is sent. One exchange at a time
 // owns it; only the sender of that exchange can read it. Safe for concurrent use.
@@ -36,7 +36,8 @@
 	owner *sender
 	// reading is set while a read of the source is in progress.
 	reading bool
-	// readStarted is set once a read was started, so the rest may not be the whole body.
+	// readStarted is set before the first read; from then on the source may no longer return
+	// the whole body.
 	readStarted bool
 	ended       bool
 	// digest hashes what was read; nil if no hash is needed.
@@ -71,9 +72,9 @@
 	return b.owner != nil
 }
 
-// ReadAhead reads up to n bytes of the body into memory, until the given time at the latest;
-// they are sent first. If the body ends or fails within them, it does so again when it is
-// sent.
+// ReadAhead reads up to n bytes of the body into memory, until the given time at the latest.
+// Later reads return these bytes first. If the body ends or fails within these bytes, later
+// reads end or fail at the same place.
 func (b *Body) ReadAhead(n int, until time.Time) {
 	reader := &sender{}
 	b.setOwner(reader)
@@ -107,7 +108,8 @@
 	return b.setReadDeadline(t)
 }
 
-// replaceSource puts the bytes that were read ahead before the rest. They are hashed only once.
+// replaceSource replaces the source by one that returns the bytes read ahead before the rest
+// of the body. The digest must include these bytes only once.
 func (b *Body) replaceSource(source io.Reader) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -116,7 +118,7 @@
 		return
 	}
 	if _, known := b.digest.Sum(b.ended); !known {
-		// The bytes are read again.
+		// The bytes are read and hashed again when the body is sent.
 		b.digest = quarantine.NewBodyDigest()
 	}
 }
@@ -134,7 +136,8 @@
 	b.digest = quarantine.NewBodyDigest()
 }
 
-// Sum returns the hash of the body, if EnableDigest was called and enough of it was read.
+// Sum returns the hash of the body. It is known only if EnableDigest was called and enough of
+// the body was read.
 func (b *Body) Sum() (sum quarantine.BodySum, known bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -172,7 +175,7 @@
 	return body, b.setSourceDeadline(time.Time{})
 }
 
-// errExchangeEnded ends a sender whose exchange is over.
+// errExchangeEnded is the error of reads by a sender whose exchange has ended.
 var errExchangeEnded = errors.New("the exchange ended before its body was sent")
 
 // ownerReader reads a body on behalf of its owner.
@@ -218,7 +221,8 @@
 	b.owner = owner
 }
 
-// removeOwner ends the owner's reads: one in progress is interrupted, and later ones fail.
+// removeOwner takes the body from its owner: a read in progress is interrupted, and later
+// reads fail.
 func (b *Body) removeOwner(owner *sender) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -260,8 +264,9 @@
 	copied, s.err = s.copy()
 	s.sent = max(0, copied-int64(s.conn.writer.Buffered()))
 	if s.sourceFailed || errors.Is(s.err, io.ErrUnexpectedEOF) {
-		// The peer must see a broken body, never a truncated one. If the peer closed the
-		// connection, its response may already be there and is read.
+		// The body is incomplete. Break the connection, so that the peer does not take the
+		// body for a complete one. If a write failed instead, because the peer closed the
+		// connection, the peer's response may already have arrived and is still read.
 		s.conn.fail()
 	}
 }
@@ -284,8 +289,9 @@
 func (s *sender) stopAndWait() {
 	stillRunning := !s.exited()
 	if err := s.out.Stream.removeOwner(s); errors.Is(err, errors.ErrUnsupported) {
-		// The pending read cannot be interrupted; what it returns is dropped. Any other error
-		// means that the source is closed, and then its reads return.
+		// The pending read cannot be interrupted, so do not wait for it; the bytes that it
+		// returns are dropped. Any other error means that the source is closed, and then a
+		// pending read returns by itself.
 		logs.Decision(true, "Body sender not woken", "request", s.out.ID, "attempt", FormatID(s.out.Attempt), "err", err)
 		return
 	}
@@ -333,7 +339,8 @@
 	return n, w.Flush()
 }
 
-// flusher flushes the buffer once it is half full, so that a slow upload is sent in parts.
+// flusher flushes the buffer once it is half full, so that the parts of a slow upload are
+// sent as they arrive.
 type flusher struct{ w *bufio.Writer }
 
 // Write writes a part of a chunk.
--- a/internal/hop/upload_test.go
+++ b/internal/hop/upload_test.go
@@ -117,9 +117,9 @@
 	assert.Assert(t, late > 10, "only %d senders started late", late)
 }
 
-// A server responds early while the caller sends nothing, and the sender is blocked in a read of
-// the caller's connection. The exchange must interrupt that read and wait for the sender to end;
-// bytes that the read returned meanwhile must not be forwarded.
+// A server responds early while the caller sends nothing, so that the sender is blocked in a
+// read of the caller's connection. The exchange must interrupt that read and wait for the
+// sender to end. Bytes that the read still returns must not be forwarded.
 func TestExchangeEndsAfterItsSender(t *testing.T) {
 	source := newBlockingSource(strings.Repeat("x", 1000))
 	var got atomic.Int64
@@ -158,10 +158,10 @@
 	assert.Equal(t, source.reading.Load(), int32(0), "the sender is still running after its exchange")
 }
 
-// The caller's upload fails while the server's response begins: the response arrives in one read,
-// and the sender fails before its head was parsed. The server must still see a broken body, and
-// the response, which waits for the rest of it, must end. If the deadline were removed again,
-// both would wait for each other.
+// The caller's upload fails after the start of the server's response has arrived and before
+// its head was parsed. The server must still see a broken body, and reading the response,
+// whose rest the server sends only after the body, must end. If parsing the head removed the
+// deadline that the failure set, node and server would wait for each other.
 func TestBodyFailureAfterResponseHead(t *testing.T) {
 	broken := make(chan struct{})
 	p := startServer(t, func(c net.Conn) {
@@ -199,8 +199,9 @@
 	}
 }
 
-// A sender is blocked in a read when the body is taken from it, and the read then returns bytes.
-// They must not be sent or counted as sent, because the exchange is over.
+// A sender is blocked in a read when the exchange ends and the sender loses access to the
+// body; the read then returns bytes. They must not be sent or counted as sent, because the
+// exchange has ended.
 func TestLateReadIsDropped(t *testing.T) {
 	source := newBlockingSource("taken")
 	body := NewBody(source, source.setReadDeadline)
@@ -278,9 +279,9 @@
 	}
 }
 
-// The caller's connection is closed while a sender is blocked in a read of it, and setting a
-// deadline fails. The read returns by itself after a delay: the exchange must still wait for its
-// sender.
+// The caller's connection is closed while a sender is blocked in a read of it, so that
+// setting a read deadline fails. The read returns by itself after a delay, and the exchange
+// must wait for its sender until then.
 func TestExchangeWaitsForSenderOfClosedSource(t *testing.T) {
 	source := newBlockingSource("")
 	p := startServer(t, func(c net.Conn) {
@@ -313,7 +314,7 @@
 	p := startServer(t, func(c net.Conn) {
 		readRequestHead(c)
 		_, _ = io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n")
-		// By now the sender has filled the connection's buffers.
+		// Wait until the sender has filled the connection's buffers and blocks.
 		time.Sleep(100 * time.Millisecond)
 		// There is no "Connection: close": only the sender's state decides about reuse.
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
