--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -101,9 +101,9 @@
 }
 
 // Guards against a corrupted body on retry. When a backend server rejects a long upload
-// early, on a busy host its response may be read before the goroutine that sends the body
-// has started. That goroutine then took bytes out of the body while the retry sent it, and
-// the second endpoint received a body with a gap.
+// early, on a busy host its response may be read before the goroutine that sends the body has
+// started. If that goroutine still read the body, it would take bytes out of the body that
+// the retry sends, and the second endpoint would receive a body with a gap.
 func TestRetryAfterRejectedUploadSendsWholeBody(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	body := make([]byte, 200<<10)
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	// gracePeriod extends the deadline of an attempt on this side, so that a refusal
+	// gracePeriod extends the deadline of an attempt at the caller's node, so that a refusal
 	// sent by the gate at the deadline arrives before the attempt is considered lost.
 	gracePeriod = 25 * time.Millisecond
 	// revokeTimeout bounds the revoke request for a lost attempt.
 	revokeTimeout = 500 * time.Millisecond
-	// lateRevokeTimeout applies instead once the deadline has passed, when the caller
-	// must be answered immediately.
+	// lateRevokeTimeout replaces revokeTimeout once the request's deadline has passed,
+	// because the caller must then get its response immediately.
 	lateRevokeTimeout = 50 * time.Millisecond
-	// largeBodyBytes is the body size from which a request is flagged as having a large body:
-	// sending it costs more than sending its response.
+	// largeBodyBytes is the body size from which a request is flagged as having a large body,
+	// which means that sending the request costs more than sending its response.
 	largeBodyBytes = 16 << 10
 	// defaultRetryAfter is used when no gate supplied an estimate.
 	defaultRetryAfter = 100 * time.Millisecond
@@ -57,7 +57,7 @@
 	deadline time.Time
 	caller   string
 	route    *Route
-	// hedged is set once a hedged attempt was started.
+	// hedged is set once a hedged attempt, that is, a concurrent second attempt, was started.
 	hedged bool
 	// awaitsContinue is set if the caller sent "Expect: 100-continue".
 	awaitsContinue bool
@@ -69,7 +69,7 @@
 	retryAfter time.Duration
 }
 
-// attempt is one transmission of a request to one endpoint.
+// attempt is one try of sending a request to one endpoint.
 type attempt struct {
 	to          *selectedEndpoint
 	id          gate.AttemptID
@@ -169,7 +169,8 @@
 	return c.attempts
 }
 
-// recordReply stores the last attempt's reply, from which a fault response is built.
+// recordReply stores the reply to the last attempt. If the request is given up, its fault
+// response is built from it.
 func (c *call) recordReply(r result) {
 	if !r.hasReply {
 		return
@@ -218,9 +219,9 @@
 	return c.tryRemote(a, req, out)
 }
 
-// applyRoute copies the route's class, priority and latency target to the request. The
-// target counts from the caller's first attempt: if a caller allows less time than the
-// route, the difference is taken as spent on an earlier attempt.
+// applyRoute copies the route's class, priority and latency target to the request. The target
+// counts from when the caller first sent the request: if a caller allows less time than the
+// route's timeout, it is assumed to have spent the difference on earlier attempts of its own.
 func (c *call) applyRoute(req *hop.Request, now time.Time) {
 	if c.route == nil {
 		return
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -6,12 +6,18 @@
 	"cactuspath/internal/latency"
 )
 
-// Counters holds the metrics of calls, measured on the callers' side.
+// Counters holds the metrics of calls, measured at the callers' node.
 type Counters struct {
+	// Answered counts the calls that got a response of a backend server, Canceled those whose
+	// callers disconnected, and Truncated the responses that ended prematurely. Retries, Moves
+	// and Hedges count the additional attempts after a failure, after a move by a gate and
+	// concurrently with a stuck attempt. LostAttempts counts the attempts without a valid
+	// response, SilentPeers the failed probes of silent nodes. Faults counts the fault
+	// responses by kind, Revokes the revoked attempts by the gate's answer.
 	Answered, Retries, Moves, LostAttempts, Canceled, Truncated, Hedges, SilentPeers expvar.Int
 	Faults, Revokes                                                                  expvar.Map
 
-	// Latency records the time from a request's head to the end of its
+	// Latency records the time from when the head of a request was read to the end of its
 	// response.
 	Latency *latency.Histogram
 }
--- a/internal/proxy/framing_test.go
+++ b/internal/proxy/framing_test.go
@@ -64,9 +64,9 @@
 	assert.Equal(t, n.hits.Load(), int64(0))
 }
 
-// Guards against request smuggling: a request with both Content-Length and chunked
-// encoding is read as chunked and forwarded with a single new framing, so that the bytes
-// behind it remain a request of the same caller.
+// Guards against request smuggling: a request with both Content-Length and chunked encoding
+// is read as chunked and forwarded with a single new framing, so that the bytes after it are
+// read as another request of the same caller.
 func TestContentLengthWithChunkedIsReframed(t *testing.T) {
 	var bodies []string
 	n := newFakeNode(t, func(w http.ResponseWriter, r *http.Request, req hop.Request) {
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -39,13 +39,13 @@
 	Incarnation uint64
 	Security    *transport.Security
 	Local       Local
-	// DiscoverService tells the node that a service is called which it does not fully know.
-	// It returns once the service is known or ctx ends.
+	// DiscoverService makes the node look up a called service that it does not fully know
+	// yet. It returns once the service is known or ctx ends.
 	DiscoverService func(ctx context.Context, service string) error
 	// Dialect configures the header names used with callers and backend servers.
 	Dialect *hop.Dialect
-	// CallerService returns the service on this node, on whose behalf its callers send
-	// requests.
+	// CallerService returns the name of the service that runs on this host, which is the
+	// caller of the requests sent here.
 	CallerService func() string
 	// ProbePeer probes the node at an address and reports whether it responded; nil
 	// disables probing.
@@ -57,13 +57,14 @@
 	ObserveRevision func(revision uint64)
 	// Revision returns the revision of the newest configuration on this node.
 	Revision func() uint64
-	// Quarantine decides which requests are withheld from backend servers; nil withholds
-	// none.
+	// Quarantine decides which requests are refused because requests with the same content
+	// crashed backend servers; nil refuses none.
 	Quarantine *quarantine.Tracker
 	// Overload refuses requests while this process is short of processor time; nil refuses
 	// none.
 	Overload *overload.Monitor
-	// Revoke revokes an attempt at a node and returns how far it got there.
+	// Revoke revokes an attempt, sent the given time ago, at the endpoint's node and returns
+	// whether it was started there.
 	Revoke   func(ctx context.Context, peerAddress string, incarnation uint64, id gate.AttemptID, sentAgo time.Duration) gate.RevokeAnswer
 	Counters *Counters
 }
@@ -74,7 +75,7 @@
 	start   time.Time
 	table   atomic.Pointer[Table]
 	ready   atomic.Bool
-	// disabledSet holds a mechanism.Set.
+	// disabledSet holds a mechanism.Set, the mechanisms that are disabled.
 	disabledSet     atomic.Uint32
 	requestSequence atomic.Uint64
 	requestIDSeed   uint64
@@ -125,7 +126,7 @@
 	h.ready.Store(true)
 }
 
-// RoutedServices returns the names of the services that routes refer to.
+// RoutedServices returns the sorted names of the services that routes refer to.
 func (h *Handler) RoutedServices() []string { return h.table.Load().Services() }
 
 // Update replaces the endpoints of every service.
@@ -158,7 +159,7 @@
 	h.closeUnusedPeers(inUse)
 }
 
-// closeUnusedPeers closes the connection pools of peers that no endpoint uses any more.
+// closeUnusedPeers closes the connection pools of nodes that no longer have an endpoint.
 func (h *Handler) closeUnusedPeers(inUse map[string]bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -198,7 +199,7 @@
 	return v
 }
 
-// Distance returns the measured one-way delay to a peer, or 0 if it is unknown.
+// Distance returns the estimated one-way network delay to a node, or 0 if it is unknown.
 func (h *Handler) Distance(address string) time.Duration {
 	h.mu.RLock()
 	p := h.peers[address]
@@ -267,8 +268,8 @@
 	h.writeFault(w, r, Fault{Fault: fault.Overloaded, Reason: gate.Overloaded.String(), Message: "this node is short of processor time and did not run the request; come back after the time given, or ask another node"}, retryAfter)
 }
 
-// refuseUnknownService responds to a request that matches no service or route. Without
-// a configuration (ready is false) the fault is a temporary one.
+// refuseUnknownService responds to a request that matches no service or route. If the node
+// has no configuration yet (ready is false), the fault tells the caller to retry.
 func (h *Handler) refuseUnknownService(w http.ResponseWriter, r *http.Request, ready bool) {
 	if !ready {
 		h.writeFault(w, r, Fault{Fault: fault.NotReady, Message: "this node has no configuration yet; ask another node or come back when it is ready"}, time.Second)
@@ -338,9 +339,9 @@
 	return min(maxDeliveryReserve, timeout/deliveryReserveDivisor)
 }
 
-// callerID identifies the sender for fair queueing: by its address without the port, or
-// by this host's name for loopback addresses. All nodes have loopback callers, which
-// would otherwise be one and the same caller in every queue.
+// callerID identifies the sender for fair queueing: by its address without the port, or by
+// this host's name for loopback addresses. All nodes have loopback callers, and without their
+// hosts' names an endpoint's queue would treat these as a single caller.
 func (h *Handler) callerID(r *http.Request) string {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -25,11 +25,11 @@
 	ended  chan result
 }
 
-// runHedged makes an attempt and, on a hint, a second one concurrently. It returns the
-// first response that is not a server error. A server error is held while the other
-// attempt runs and is returned only if that one gets no response; otherwise a caller would
-// get the first attempt's 500 although the second was about to succeed. Without any
-// response it returns the most informative result.
+// runHedged makes an attempt and, on a hint, a second one concurrently. It returns the first
+// response that is not a server error. A server error is held while the other attempt runs
+// and is returned only if that one gets no response; otherwise a caller would get the first
+// attempt's 500 although the second was about to succeed. If neither attempt gets a response,
+// it returns the result that tells most about whether the request may have run.
 func (c *call) runHedged(to *selectedEndpoint) result {
 	hints := make(chan string, maxConcurrentAttempts)
 	running := [maxConcurrentAttempts]runningAttempt{c.startAttempt(to, hints)}
@@ -69,8 +69,8 @@
 	return resp.StatusCode >= http.StatusInternalServerError
 }
 
-// holdResponse ties an attempt's context to its response, so that it is canceled when the
-// response body is closed.
+// holdResponse keeps an attempt's context alive for reading its response; the context is
+// canceled when the response body is closed.
 func (c *call) holdResponse(r result, from runningAttempt) result {
 	r.resp.Body = &cancelingBody{ReadCloser: r.resp.Body, onClose: from.cancel}
 	return r
@@ -104,7 +104,8 @@
 	}
 }
 
-// pickSecondEndpoint returns the endpoint for a hedged attempt, or nil if none may be made.
+// pickSecondEndpoint returns the endpoint for a hedged attempt, or nil if no hedged attempt
+// may be made.
 func (c *call) pickSecondEndpoint(first *selectedEndpoint, host string) *selectedEndpoint {
 	if c.hedged || host == first.Host || time.Until(c.deadline) <= 0 {
 		return nil
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -40,10 +40,10 @@
 	})
 }
 
-// Guards against returning a server error while a hedged attempt is about to succeed: a
-// read is stuck because a call made by its server is, and its first attempt ends with 500
-// while the second runs. The 500 is returned only if the second attempt gets no better
-// response.
+// Guards against returning a server error while a hedged attempt is about to succeed: the
+// first attempt of a read is stuck, because its backend server waits for a stuck call of its
+// own, and ends with 500 while the second attempt runs. The 500 is returned only if the
+// second attempt gets no better response.
 func TestServerErrorDoesNotWinWhileTheOtherAttemptRuns(t *testing.T) {
 	const soon, later = 60 * time.Millisecond, 250 * time.Millisecond
 	for _, c := range []struct {
@@ -72,7 +72,7 @@
 
 // Guards against losing a held server error: if the second attempt never ends, the first
 // attempt's error is returned at the deadline.
-func TestServerErrorIsTheAnswerWhenTheOtherAttemptHasNone(t *testing.T) {
+func TestServerErrorIsReturnedWithoutOtherResponse(t *testing.T) {
 	first, second := serverResponse{500, 20 * time.Millisecond}, serverResponse{200, time.Minute}
 	a, b := newStuckNode(t, "b", first, second), newStuckNode(t, "a", first, second)
 	s := startProxy(t, gate.RevokeUnknown, a, b)
--- a/internal/proxy/moves_test.go
+++ b/internal/proxy/moves_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// Guards against move loops: a request that two gates move back and forth must end, with
-// the fault "not run".
+// Guards against endless moves: a request that two gates move back and forth must be given up
+// with the fault "not run".
 func TestMovesAreLimited(t *testing.T) {
 	to := func(host string) func(http.ResponseWriter, *http.Request, hop.Request) {
 		return func(w http.ResponseWriter, _ *http.Request, req hop.Request) {
@@ -53,8 +53,8 @@
 	assert.Equal(t, a.hits.Load()+b.hits.Load(), int64(3))
 }
 
-// Guards against counting moves as refusals. A host drains under load, and gates that do
-// not know it yet move a request there and back before the draining gate refuses it. The
+// Guards against counting moves as refusals. While a host drains under load, gates that do
+// not know this yet move a request there and back before the draining gate refuses it. The
 // request must still reach the remaining endpoint.
 func TestRequestMovedAboutStillFindsAnEndpoint(t *testing.T) {
 	// Which of the two is picked first is random; the repetitions cover both orders.
@@ -111,8 +111,8 @@
 }
 
 // Guards against sending bodies of 40 KB to a gate that only moves the requests. On links
-// that carry eighteen such bodies a second, the useless ones delayed all other traffic,
-// configurations included.
+// that carry eighteen such bodies a second, the needlessly sent ones would delay all other
+// traffic, including configurations.
 func TestMovedBodyIsNotSent(t *testing.T) {
 	const size = 40 << 10
 	var sent atomic.Int64
--- a/internal/proxy/outcome.go
+++ b/internal/proxy/outcome.go
@@ -13,14 +13,15 @@
 	"cactuspath/internal/logs"
 )
 
-// This file maps the end of an attempt to its effects on the request and the endpoint.
+// This file determines from the outcome of an attempt whether the request may be retried, and
+// updates the state of the endpoint.
 
 // evacuatedAvoidDuration is how long an endpoint is avoided after its gate refused a
 // request because of an evacuation that this node does not know of. It is about the time
 // in which news of an evacuation reaches both nodes.
 const evacuatedAvoidDuration = 300 * time.Millisecond
 
-// handleReply updates the endpoint's state from an attempt's reply and returns the
+// handleReply updates the endpoint's state from the reply to an attempt and returns the
 // attempt's result.
 func (c *call) handleReply(a attempt, resp *http.Response, reply hop.Reply) result {
 	c.h.options.ObserveRevision(reply.Revision)
@@ -37,7 +38,8 @@
 	return r
 }
 
-// refuseQuarantined ends a call with quarantined content, as a gate would refuse it.
+// refuseQuarantined ends a call whose content is quarantined with the same fault as a refusal
+// by a gate.
 func (c *call) refuseQuarantined(to *selectedEndpoint, remaining time.Duration) {
 	if to != nil {
 		c.s.done(c.h.now(), to, true)
@@ -47,8 +49,8 @@
 	c.giveUp(c.rules.GiveUp())
 }
 
-// classifyReply maps a reply without a backend response to the end of the attempt, and
-// updates the endpoint's state.
+// classifyReply returns the outcome of an attempt from a reply without a response of the
+// backend server, and updates the endpoint's state.
 func (c *call) classifyReply(a attempt, reply hop.Reply) retry.Result {
 	switch reply.Verdict {
 	case hop.Moved:
@@ -84,9 +86,9 @@
 	return retry.NotRun
 }
 
-// resolveUnanswered determines the end of an attempt that received no valid response. It
-// asks the endpoint's node to revoke the attempt, which also tells whether it started,
-// unless no connection was made or the attempt was canceled.
+// resolveUnanswered returns the outcome of an attempt that received no valid response. Unless
+// no connection was made or the attempt was canceled, it asks the endpoint's node to revoke
+// the attempt, and learns from the answer whether the attempt was started.
 func (c *call) resolveUnanswered(a attempt, err error) retry.Result {
 	c.s.done(c.h.now(), a.to, false)
 	var dialErr *hop.DialError
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -14,8 +14,8 @@
 	"cactuspath/internal/hop"
 )
 
-// Guards against delivering the response of another request: the caller must not get it,
-// and since its own request may have run, its outcome is "unknown".
+// Guards against delivering the response to another request. The caller must not get that
+// response but the fault "outcome unknown", since its own request may have run.
 func TestForeignAnswerIsNotDelivered(t *testing.T) {
 	n := newFakeNode(t, func(w http.ResponseWriter, _ *http.Request, req hop.Request) {
 		req.ID.Request[1]++
@@ -31,7 +31,7 @@
 // Guards against running a payment twice when the connection breaks before the response:
 // the request is sent elsewhere only if it is idempotent or if the gate says that it never
 // started.
-func TestLostAnswer(t *testing.T) {
+func TestLostResponse(t *testing.T) {
 	cases := []struct {
 		desc   string
 		method string
--- a/internal/proxy/route.go
+++ b/internal/proxy/route.go
@@ -53,9 +53,9 @@
 	return route
 }
 
-// Pick chooses the service of the next request by smooth weighted round-robin, so that
-// even a few requests are distributed by weight. Requests that exceed the capacity of a
-// share's service are not reassigned to another share, since that would change the split.
+// Pick chooses the service of the next request by smooth weighted round-robin, so that even a
+// few requests are distributed by weight. A request for a service without free capacity is
+// not given to another share's service, since that would change the split.
 func (r *Route) Pick() string {
 	shares := r.Spec.Shares
 	if len(shares) == 1 {
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -48,7 +48,8 @@
 	return &selectedEndpoint{Candidate: *c, entry: c}
 }
 
-// SharedRetryBudget configures a retry budget that is shared by all nodes.
+// SharedRetryBudget configures a retry budget that is shared by all nodes. It is not used if
+// Window is 0.
 type SharedRetryBudget struct {
 	Ratio, Slack float64
 	Window       time.Duration
@@ -79,7 +80,8 @@
 	}
 }
 
-// setBudgetShare sets the budget to this node's part of the shared budget.
+// setBudgetShare sets the service's retry budget to this node's part of the shared budget,
+// one of nodeCount parts.
 func (s *service) setBudgetShare(sharedBudget SharedRetryBudget, nodeCount int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,13 +108,14 @@
 	}
 }
 
-// refillInterval is the minimum time between refills; with shorter ones the credits would
-// be rounded to nothing.
+// refillInterval is the minimum time between refills; the credits of shorter intervals would
+// be rounded to zero.
 const refillInterval = 100 * time.Millisecond
 
-// pickHedge charges a hedged attempt to the budget and returns its endpoint, with a request
-// counted on it: the named host, or any but the stuck one for hop.AnyHost. It returns nil
-// if there is no such endpoint or the budget is exhausted.
+// pickHedge returns the endpoint for a hedged attempt, charges the attempt to the retry
+// budget and counts it as outstanding at the endpoint. The endpoint is the one on the named
+// host, or, for hop.AnyHost, any except the one on stuckHost. pickHedge returns nil if there
+// is no such endpoint or the budget is exhausted.
 func (s *service) pickHedge(now time.Duration, rules *retry.Request, host, stuckHost string) *selectedEndpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,14 +150,16 @@
 	return s.spec, rules
 }
 
+// pick returns the endpoint for an attempt, given the hosts that were tried before, and counts
+// the attempt as outstanding there. It returns nil if there is no endpoint.
 func (s *service) pick(now time.Duration, tried []string) *selectedEndpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return snapshotCandidate(s.pool.Pick(now, tried))
 }
 
-// pickNamed returns the candidate on the host, with a request counted on it, or nil if it
-// is unknown or evacuated.
+// pickNamed returns the endpoint on the host and counts a request as outstanding there. It
+// returns nil if the endpoint is unknown or evacuated.
 func (s *service) pickNamed(host string) *selectedEndpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,6 +171,8 @@
 	return snapshotCandidate(c)
 }
 
+// done ends an attempt that was counted as outstanding at an endpoint. reached tells whether
+// the endpoint was reached.
 func (s *service) done(now time.Duration, to *selectedEndpoint, reached bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/table.go
+++ b/internal/proxy/table.go
@@ -25,9 +25,9 @@
 	target Target
 }
 
-// NewTable builds a table from routes and service records, partial ones included. A route
-// that did not change is taken over from previous, which may be nil, together with the
-// state of its traffic split.
+// NewTable builds a table from routes and service records, partial ones included. An
+// unchanged route is reused from previous, which may be nil, so that it keeps the state of
+// its traffic split.
 func NewTable(records []*apiv1.ServiceRecord, routes []*apiv1.RouteRecord, previous *Table) *Table {
 	t := &Table{byHost: map[string][]tableEntry{}, serviceNames: map[string]bool{}, routes: map[string]*Route{}}
 	for _, r := range records {
