--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -13,16 +13,16 @@
 type streamedBody struct {
 	io.ReadCloser
 	w *response
-	// expectsContinue: the caller waits for 100 Continue before it sends the body.
-	// continueDeferred: 100 Continue is to be written just before the response header,
-	// since earlier responses were not out when it was requested. Both are guarded by
-	// the response's interimMu.
+	// expectsContinue is set while the caller waits for 100 Continue before it sends the
+	// body. continueDeferred is set if 100 Continue must be written just before the response
+	// header, since earlier responses had not been sent when it was requested. Both are
+	// guarded by the response's interimMu.
 	expectsContinue, continueDeferred bool
 	// finished is closed when the body has been read to its end, stopped when it must
 	// no longer be read.
 	finished, stopped chan struct{}
 
-	// readStarted: the first read was made. Only the reading goroutine uses it.
+	// readStarted is set by the first read. Only the reading goroutine uses it.
 	readStarted bool
 
 	mu       sync.Mutex
@@ -53,10 +53,10 @@
 	return n, err
 }
 
-// sendContinueInTurn sends 100 Continue once all earlier responses on the connection
-// are out. It sends none after the response has begun: the caller would read it as part
-// of that response, or as the response to its next request. The caller may send the
-// body without it.
+// sendContinueInTurn sends 100 Continue once all earlier responses on the connection have
+// been sent. It does not send it after the response to this request has begun: the caller
+// would read it as part of that response, or as the response to its next request. The caller
+// may send the body without it.
 func (b *streamedBody) sendContinueInTurn() error {
 	if !b.needsContinue() {
 		return nil
@@ -82,9 +82,9 @@
 	return b.expectsContinue
 }
 
-// sendContinueAhead sends 100 Continue no later than the response header. Otherwise a
-// server that responds while it reads waits for the body, and the caller waits for 100
-// Continue.
+// sendContinueAhead makes 100 Continue precede the response header. Otherwise, a backend
+// server that responds while it reads the body would wait for the body, and the caller for
+// 100 Continue.
 func (b *streamedBody) sendContinueAhead() {
 	b.w.interimMu.Lock()
 	defer b.w.interimMu.Unlock()
@@ -96,8 +96,8 @@
 	}
 }
 
-// writeContinue writes 100 Continue, unless it was sent or the caller does not expect
-// it. The caller must hold interimMu.
+// writeContinue writes 100 Continue, unless it was sent before, the caller does not expect it
+// or the response has begun. The caller must hold interimMu.
 func (b *streamedBody) writeContinue() error {
 	if !b.expectsContinue || b.w.started {
 		return nil
@@ -106,9 +106,9 @@
 	return b.w.writeWithTimeout([]byte("HTTP/1.1 100 Continue\r\n\r\n"), continueTimeout)
 }
 
-// continueTimeout bounds the write of 100 Continue. It is 25 bytes: a caller that does
-// not take them within a second is not reading its responses. Stopping the body waits
-// for this write.
+// continueTimeout bounds the write of 100 Continue. 100 Continue has 25 bytes: if they cannot
+// be written within a second, the caller does not read its responses. The time is short
+// because stopping the body waits for this write.
 const continueTimeout = time.Second
 
 // markFinished records that the body was read to its end, so that the connection can
@@ -153,7 +153,7 @@
 	return !b.ended
 }
 
-// Close leaves the rest of the body unread.
+// Close does nothing. The rest of the body stays unread.
 func (b *streamedBody) Close() error { return nil }
 
 // bodyUnread reports whether the request's body was not read to its end.
--- a/internal/front/body_test.go
+++ b/internal/front/body_test.go
@@ -44,10 +44,10 @@
 	assert.Equal(t, string(rest), "")
 }
 
-// Two requests are pipelined; the second expects 100 Continue, and its handler stops
-// the body before the first response is out. 100 Continue waits for that response and
-// must not be sent after the stop: nobody reads the body that the caller would send,
-// and 100 Continue may be written into the response.
+// Two requests are pipelined; the second expects 100 Continue, and its handler stops the body
+// before the first response is out. 100 Continue must wait for that response, and must not be
+// sent after the stop: the body that the caller would then send is not read, and 100 Continue
+// could be written into the response.
 func TestStoppedBodyGetsNoContinue(t *testing.T) {
 	release := make(chan struct{})
 	stopped := make(chan struct{})
@@ -83,9 +83,9 @@
 	assert.Equal(t, body, "second")
 }
 
-// A caller is still sending a long body when the whole of a long response is ready, and
-// reads the response while it sends; some callers act on "Connection: close" only after
-// the response. Closing the connection with unread body bytes resets it and loses the
+// A caller is still sending a long body when a long response has been written completely. It
+// reads the response while it sends, and, like some callers, acts on "Connection: close" only
+// after the response. Closing the connection with unread body bytes resets it and loses the
 // part of the response that is still in transit.
 func TestCallerThatStillSendsGetsWholeResponse(t *testing.T) {
 	text := strings.Repeat("a", 4<<20)
@@ -110,8 +110,8 @@
 	}
 }
 
-// A body is stopped after it was read to its end. The connection belongs to the next
-// request by then, and that request's reads must not be interrupted.
+// A body is stopped after it was read to its end. By then the next request is read from the
+// connection, and reading it must not be interrupted.
 func TestLateStopDoesNotAffectNextRequest(t *testing.T) {
 	_, address := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		n, err := io.Copy(io.Discard, r.Body)
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -32,14 +32,14 @@
 	limiter *headerLimiter
 	// pipelineSlots bounds the number of requests in progress.
 	pipelineSlots chan struct{}
-	// prevDone is closed when the response before that of the next request is out.
+	// prevDone is closed when the response to the last request that was read has been sent.
 	prevDone chan struct{}
 
 	mu sync.Mutex
-	// pending counts requests that were read and not yet answered.
+	// pending is the number of requests that were read and whose responses were not sent yet.
 	pending int
-	// closing: a response announced the close of the connection or was aborted, or the
-	// server shuts down; requests after that response are not read.
+	// closing is set once a response has announced that the connection closes or was aborted,
+	// or when the server shuts down. No further request on the connection is started then.
 	closing  bool
 	handlers sync.WaitGroup
 }
@@ -88,9 +88,9 @@
 func (c *conn) serve() {
 	handedOff := false
 	defer func() {
-		// The caller hung up, or no more requests are to be read. A caller that hung up
-		// has its running requests canceled; one that only closed its sending side gets
-		// their responses.
+		// No more requests are read. Wait for the running ones: if the reader found the end
+		// of the connection, they were canceled; otherwise their responses are still sent,
+		// also to a caller that then closes its sending side.
 		c.handlers.Wait()
 		c.cancel()
 		if !handedOff {
@@ -118,7 +118,8 @@
 	return err == nil && string(start) == h2PrefacePrefix
 }
 
-// serveNext reads one request and starts it; it returns false if no request may follow.
+// serveNext reads one request and starts its handler. It returns false if no further request
+// may be read.
 func (c *conn) serveNext() bool {
 	limits := c.server.limits.Load()
 	if !c.waitForRequest(limits) {
@@ -143,8 +144,9 @@
 	return c.startRequest(r)
 }
 
-// waitForRequest waits for the first byte of a request. Earlier requests may still run;
-// if the connection ends meanwhile, their caller has hung up and they are canceled.
+// waitForRequest waits for the first byte of a request. Earlier requests may still be
+// running. If the connection ends in the meantime, the caller has disconnected, and they are
+// canceled.
 func (c *conn) waitForRequest(limits *Limits) bool {
 	for {
 		if !c.armIdleDeadline(limits) {
@@ -167,10 +169,10 @@
 	}
 }
 
-// armIdleDeadline reports whether another request may follow, and sets the idle
-// deadline. Both happen under the lock: a deadline set here after the one that ends the
-// connection would undo that one and leave the reader waiting on a connection that has
-// ended.
+// armIdleDeadline reports whether another request may follow, and if so sets the idle
+// deadline. Both happen under the lock. Otherwise the idle deadline could replace the shorter
+// one that is set when the connection ends, and the reader would wait on a connection that
+// has ended.
 func (c *conn) armIdleDeadline(limits *Limits) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,8 +194,8 @@
 	return errors.As(err, &e) && e.Timeout()
 }
 
-// readErrorStatus returns the status for a request header that could not be read; 0
-// means no response, since the caller hung up.
+// readErrorStatus returns the status for a request header that could not be read; 0 means
+// that no response is sent, since the caller disconnected.
 func readErrorStatus(err error) int {
 	switch {
 	case errors.Is(err, errHeaderTooLarge):
@@ -228,9 +230,9 @@
 	return 0
 }
 
-// validFieldNames reports whether all field names are tokens. Programs disagree on a
-// name with a space before its colon: such a field is one to some and another to others,
-// and can be smuggled past the first of them.
+// validFieldNames reports whether all field names are tokens. Programs interpret a name with
+// a space before its colon differently: what is one field to some is another to others, so
+// such a field can be smuggled past a program that checks requests for another one.
 func validFieldNames(h http.Header) bool {
 	for name := range h {
 		for i := range len(name) {
@@ -265,11 +267,12 @@
 	c.lingerClose()
 }
 
-// lingerTimeout bounds how long data that a caller still sends after its last response
-// is read and discarded. Closing with unread bytes resets the connection, and the part
-// of the response that is still in transit is lost.
+// lingerTimeout bounds how long data that a caller sends after its last response is still
+// read and discarded. Closing with unread bytes resets the connection, and the part of the
+// response that is still in transit is lost.
 const lingerTimeout = 500 * time.Millisecond
 
+// lingerClose ends the sending side of the connection, and discards what the caller still sends.
 func (c *conn) lingerClose() {
 	if tcp, ok := c.raw.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
@@ -278,7 +281,8 @@
 	_, _ = io.Copy(io.Discard, c.raw)
 }
 
-// startRequest starts a request; it returns false if nothing more may be read.
+// startRequest starts the handler of a request. It returns false if no further request may be
+// read.
 func (c *conn) startRequest(r *http.Request) bool {
 	select {
 	case c.pipelineSlots <- struct{}{}:
@@ -287,7 +291,8 @@
 	}
 	c.mu.Lock()
 	if c.closing {
-		// An earlier response closes the connection, so this request must not run.
+		// An earlier response has announced that the connection closes, so this request must
+		// not run.
 		c.mu.Unlock()
 		return false
 	}
@@ -316,7 +321,7 @@
 	if bodyFinished == nil {
 		return !w.mustClose || c.watchHangup()
 	}
-	// The handler reads the body; the next request comes after it.
+	// The handler reads the body. The next request can be read only after it.
 	select {
 	case <-bodyFinished:
 	case <-w.done:
@@ -330,8 +335,8 @@
 	return !w.mustClose || c.watchHangup()
 }
 
-// watchHangup waits for the end of a connection on which no further request is read, so
-// that a hang-up cancels the running requests.
+// watchHangup watches a connection on which no further request is read, so that the running
+// requests are canceled if the caller disconnects. It always returns false.
 func (c *conn) watchHangup() bool {
 	for c.hasPending() {
 		_ = c.raw.SetReadDeadline(time.Now().Add(hangupPollInterval))
@@ -348,7 +353,7 @@
 	return false
 }
 
-// hangupPollInterval is how often watchHangup checks whether the response is out.
+// hangupPollInterval is how often watchHangup checks whether all responses have been sent.
 const hangupPollInterval = 50 * time.Millisecond
 
 func wantsClose(r *http.Request) bool {
@@ -358,8 +363,8 @@
 	return r.ProtoMinor == 0 && !strings.EqualFold(r.Header.Get("Connection"), "keep-alive")
 }
 
-// prepareBody reads a small body into memory. For a large one it returns a channel that
-// is closed when the handler has read it; ok is false if the body was cut short.
+// prepareBody reads a small body into memory. For a large one it returns a channel that is
+// closed when the handler has read it; ok is false if the body ended prematurely.
 func (c *conn) prepareBody(r *http.Request, w *response) (bodyFinished chan struct{}, ok bool) {
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
 		return nil, true
@@ -395,10 +400,10 @@
 	w.finish()
 }
 
-// finishRequest decrements the pending count and reports whether the connection closes.
-// A Shutdown between the response and this call saw the connection as busy and left it
-// open. Without this second check the connection would stay open for the idle timeout
-// and delay the shutdown.
+// finishRequest decrements the pending count and reports whether the connection closes. A
+// Shutdown that runs after the response was sent and before this call considers the
+// connection busy and leaves it open. Without the second check here, the connection would
+// stay open for the idle timeout and delay the shutdown.
 func (c *conn) finishRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -94,8 +94,9 @@
 	}
 }
 
-// A caller hangs up while its request runs and a second one is pipelined behind it.
-// Both must be canceled at once, or the backend servers do work that nobody receives.
+// A caller disconnects while its request runs and a second one is pipelined behind it. Both
+// must be canceled at once; otherwise the backend servers would work on responses that cannot
+// be delivered.
 func TestHangUpCancelsPipelinedRequests(t *testing.T) {
 	ended := make(chan string, 2)
 	running := make(chan struct{}, 2)
@@ -113,7 +114,7 @@
 		select {
 		case <-ended:
 		case <-time.After(500 * time.Millisecond):
-			t.Fatal("a request still runs half a second after its caller hung up")
+			t.Fatal("a request still runs half a second after its caller disconnected")
 		}
 	}
 }
@@ -385,14 +386,14 @@
 		select {
 		case <-done:
 		case <-time.After(5 * time.Second):
-			t.Fatal("the connection is still served after its caller hung up")
+			t.Fatal("the connection is still served after its caller disconnected")
 		}
 	})
 }
 
-// Guards against a connection that stays open and delays a planned stop. Shutdown runs
-// after the response was sent and before the pending count drops, and takes the
-// connection for busy; nothing checked the connection again.
+// Guards against a connection that stays open and delays a shutdown. If Shutdown runs after
+// the response was sent and before the pending count drops, it considers the connection busy
+// and leaves it open. The connection must be checked again when the pending count drops.
 func TestShutdownDuringResponseClosesConnection(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
--- a/internal/front/handoff.go
+++ b/internal/front/handoff.go
@@ -9,8 +9,8 @@
 
 const errTooManyFiles = syscall.EMFILE
 
-// handoffListener is a listener whose connections were accepted by another one and turned
-// out to begin HTTP/2.
+// handoffListener is the listener of the net/http server. It returns connections that Server
+// has accepted and that begin with an HTTP/2 preface.
 type handoffListener struct {
 	address net.Addr
 	conns   chan net.Conn
--- a/internal/front/response.go
+++ b/internal/front/response.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// maxBufferedResponse bounds how much of a response is buffered while earlier responses
-// are not out, or until the response is complete. A response that fails within it can
-// still be replaced by an error response.
+// maxBufferedResponse bounds how much of a response, in bytes, is buffered before its header
+// is sent. A response that fails within these bytes can still be replaced by an error
+// response. A longer one is sent as it is written, once all earlier responses have been sent.
 const maxBufferedResponse = 64 << 10
 
-// writeTimeout bounds one write to a caller that does not read.
+// writeTimeout bounds one write to the connection, which blocks if the caller does not read.
 const writeTimeout = 30 * time.Second
 
 // response is the response to one request.
@@ -25,7 +25,8 @@
 	request *http.Request
 	header  http.Header
 	status  int
-	// prevDone is closed when all earlier responses are out, done when this one is.
+	// prevDone is closed when all earlier responses on the connection have been sent, done
+	// when this one has been sent.
 	prevDone, done chan struct{}
 	buffered       bytes.Buffer
 	chunked        bool
@@ -83,7 +84,8 @@
 	return len(p), w.writeBody(p)
 }
 
-// Flush sends the buffered part, if all earlier responses are out.
+// Flush sends the buffered part if all earlier responses have been sent; otherwise it does
+// nothing.
 func (w *response) Flush() {
 	if w.broken.Load() {
 		return
@@ -98,7 +100,8 @@
 	}
 }
 
-// Reset discards a response of which nothing was sent; it reports whether it could.
+// Reset discards the response, so that another one can be written, and returns true. It
+// returns false if a part of the response was already sent.
 func (w *response) Reset() bool {
 	if w.started {
 		return false
@@ -124,8 +127,9 @@
 	return w.request.Method != http.MethodHead && w.status != http.StatusNoContent && w.status != http.StatusNotModified
 }
 
-// sendHeader waits until all earlier responses are out and sends the header. Complete
-// means that the whole body is buffered, so that its length is known.
+// sendHeader waits until all earlier responses have been sent, and sends the header and the
+// buffered part of the body. Complete means that the whole body is buffered, so that its
+// length is known.
 func (w *response) sendHeader(complete bool) error {
 	select {
 	case <-w.prevDone:
@@ -190,7 +194,8 @@
 	out.WriteString("\r\n")
 }
 
-// isFramingField reports whether a field is set by this server only.
+// isFramingField reports whether a field belongs to the framing of responses. The server
+// writes these fields itself instead of copying them from the handler's header.
 func isFramingField(name string) bool {
 	switch name {
 	case "Content-Length", "Transfer-Encoding", "Connection", "Keep-Alive":
@@ -258,8 +263,9 @@
 		return
 	}
 	if w.status == 0 && w.c.ctx.Err() != nil {
-		// The handler gave up because the caller hung up. The implied 200 would be a
-		// false success for a caller that closed only its sending side.
+		// The handler returned without a response because the caller disconnected. The
+		// implied 200 would be a false success for a caller that closed only its sending
+		// side.
 		w.broken.Store(true)
 		return
 	}
@@ -296,8 +302,8 @@
 	w.c.mu.Unlock()
 	w.c.cancel()
 	if tcp, ok := w.c.raw.(*net.TCPConn); ok {
-		// Reset instead of an orderly close: a response without a length would look
-		// complete after the latter.
+		// Reset the connection instead of closing it in order: after an orderly close, a
+		// response without a length would look complete.
 		_ = tcp.SetLinger(0)
 	}
 	_ = w.c.raw.Close()
@@ -311,7 +317,8 @@
 	if tcp, ok := w.c.raw.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
 	}
-	// The reader may still wait for another request; it gets some time, because closing
-	// with unread bytes would reset the connection and lose the response.
+	// The connection's goroutine may still be reading. Let it read for lingerTimeout before
+	// it closes the connection, because closing with unread bytes would reset the connection
+	// and lose the response.
 	_ = w.c.raw.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -1,8 +1,8 @@
-// Package front serves callers over HTTP/1.1 with concurrent pipelining. The requests
-// of one connection are read as they arrive and run concurrently; their responses are
-// sent in request order. The server of net/http reads the next request only after the
-// response to the last one, so that a caller that pipelines waits for the sum of its
-// requests, and a hang-up behind a second request goes unnoticed.
+// Package front serves callers over HTTP/1.1 with concurrent pipelining. The requests of one
+// connection are read as they arrive and run concurrently; their responses are sent in
+// request order. The server of net/http reads the next request only after the response to the
+// previous one. A caller that pipelines requests then waits for the sum of their durations,
+// and if it disconnects while a second request is unread, the server does not detect this.
 //
 // Connections that begin with an HTTP/2 preface are passed to a net/http server.
 package front
@@ -28,7 +28,7 @@
 	// HeaderTimeout bounds the time from the first byte of a request header to its
 	// last.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a connection without requests stays open.
+	// IdleTimeout is how long a connection without a request in progress stays open.
 	IdleTimeout time.Duration
 }
 
@@ -56,7 +56,8 @@
 	h2Listener *handoffListener
 
 	draining atomic.Bool
-	// closed is set under mu, so that no connection starts after it unnoticed.
+	// closed is set under mu, so that no connection can be added after Shutdown or Close has
+	// gone through conns.
 	closed    atomic.Bool
 	mu        sync.Mutex
 	listener  net.Listener
@@ -88,7 +89,8 @@
 	s.limits.Store(&l)
 }
 
-// Serve accepts connections until the server is shut down or the listener fails.
+// Serve accepts connections until the server is shut down or the listener fails. After a
+// shutdown it returns http.ErrServerClosed.
 func (s *Server) Serve(l net.Listener) error {
 	s.mu.Lock()
 	s.listener = l
@@ -144,12 +146,13 @@
 	}()
 }
 
-// Drain makes every further response close its connection. Connections stay open, and
-// requests on them are served, until Shutdown.
+// Drain makes each connection close after its next response, unless another request is in
+// progress behind it. Until Shutdown, other connections stay open and requests on them are
+// served.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Shutdown closes the listener and idle connections, and waits for the others until ctx
-// ends; it then returns the context's error.
+// Shutdown closes the listener and the idle connections, and waits until the other
+// connections have closed. If ctx ends first, it returns the context's error.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.Drain()
 	s.mu.Lock()
