--- a/core/quarantine/content.go
+++ b/core/quarantine/content.go
@@ -1,12 +1,12 @@
 // Package quarantine keeps requests that repeatedly crash backend servers away from the
 // remaining ones.
 //
-// A request may crash any server that runs it, and its callers retry it with new ids
-// and through other nodes. A single call makes only a few attempts, so the cause shows
-// only when the requests that were running on all crashed servers are compared. Each
-// gate therefore tells the others which requests were running when its server crashed
-// and which ones completed, and every node derives the same quarantine from this
-// information.
+// A faulty request may crash every server that runs it, while its callers retry it with
+// new ids and through other nodes. Each call makes only a few attempts, so no single node
+// sees that one request is behind all the crashes. The cause is found by comparing the
+// requests that were running on all crashed servers. Each gate therefore tells the others
+// which requests were running when its server crashed and which ones completed, and every
+// node derives the same quarantine from this information.
 //
 // The types do no I/O and are not safe for concurrent use.
 package quarantine
@@ -19,27 +19,27 @@
 	"strings"
 )
 
-// Key identifies the content of requests and is equal for equal content on every node.
-// It is a part of a SHA-256 hash, so that nobody can craft a harmless request that has
-// the key of another one. 0 means none.
+// Key identifies the content of requests. Equal content has the same key on every node.
+// A key is the first 8 bytes of a SHA-256 hash, so that nobody can craft a fatal request
+// that has the key of a harmless one, or the reverse. 0 means no key.
 type Key uint64
 
 // String formats the key for logs.
 func (k Key) String() string { return strconv.FormatUint(uint64(k), 16) }
 
 // Content identifies what a request asks for, regardless of its id and of the node that
-// received it. The zero Content is that of a request whose body is not known yet.
+// received it. It is the zero Content while the request's body is not known yet.
 type Content struct {
 	// Exact distinguishes requests by method, host, path, query, body, and the service
 	// of their callers.
 	Exact Key
-	// Alike omits the query, the callers' service and the length of a long body: a
-	// retry may have another query, come from another service, or send its body without
-	// a length.
+	// Alike is the same for similar requests: those that differ only in query, callers'
+	// service or announced length of a long body. It recognises a retry that has another
+	// query, comes from another service, or sends its body without a length.
 	Alike Key
 }
 
-// Known reports whether the content is known.
+// Known reports whether the content identifies a request, that is, is not zero.
 func (c Content) Known() bool { return c.Exact != 0 }
 
 // Target is the destination of a request and its sender.
@@ -50,16 +50,16 @@
 	// Caller is the service of the callers that sent the request, or empty if it is not
 	// known.
 	Caller string
-	// Length is the length of a body of more than PrefixBytes, if its sender announces
-	// it.
+	// Length is the announced length of a body of more than PrefixBytes, or 0 if the
+	// body is shorter or its length is not announced.
 	Length int64
 }
 
-// PrefixBytes is the length of the part of a body that distinguishes contents. Longer
-// bodies pass through a node without being buffered and are identified by this prefix.
+// PrefixBytes is the length of the part of a body that is hashed to identify it. Longer
+// bodies pass through a node without being buffered, so only this prefix is hashed.
 const PrefixBytes = 64 << 10
 
-// BodySum identifies a body by its first PrefixBytes and by whether it is longer.
+// BodySum is a hash of the first PrefixBytes of a body and of whether the body is longer.
 type BodySum [sha256.Size]byte
 
 // noBody is the hash of an empty body, which most requests have.
@@ -105,7 +105,8 @@
 	d.read += len(p)
 }
 
-// Sum returns the hash if it is known: the body has ended, or it is longer than the
+// Sum returns the hash of the body. ended states that the whole body was written. known is
+// false while the hash can still change: the body has neither ended nor exceeded the
 // hashed prefix.
 func (d *BodyDigest) Sum(ended bool) (sum BodySum, known bool) {
 	if d.known || !ended && !d.more {
--- a/core/quarantine/content_test.go
+++ b/core/quarantine/content_test.go
@@ -41,10 +41,10 @@
 	}
 }
 
-// TestBodySumDoesNotDependOnThePieces guards against different contents for the same
-// request. A node buffers short bodies and streams long ones, so a body arrives in one
-// piece or in many, with or without a length announced before it.
-func TestBodySumDoesNotDependOnThePieces(t *testing.T) {
+// TestBodySumDoesNotDependOnChunks guards against different hashes of the same body. A
+// node buffers short bodies and streams long ones, so a body is hashed in one chunk or in
+// many.
+func TestBodySumDoesNotDependOnChunks(t *testing.T) {
 	for _, size := range []int{0, 1, PrefixBytes - 1, PrefixBytes, PrefixBytes + 1, 3 * PrefixBytes} {
 		body := bytes.Repeat([]byte("x"), size)
 		d := NewBodyDigest()
@@ -60,8 +60,8 @@
 }
 
 // TestBodySumIsKnownOnceItCannotChange guards against using the hash of an incomplete
-// body: it is known only once the body has ended or exceeds the hashed prefix. A body
-// of exactly the prefix length must differ from a longer one.
+// body: the hash is known only once the body has ended or exceeds the hashed prefix. A
+// body of exactly the prefix length must have another hash than a longer one.
 func TestBodySumIsKnownOnceItCannotChange(t *testing.T) {
 	d := NewBodyDigest()
 	d.Write(bytes.Repeat([]byte("x"), PrefixBytes))
--- a/core/quarantine/evaluate.go
+++ b/core/quarantine/evaluate.go
@@ -8,12 +8,12 @@
 
 // This file decides which contents to quarantine. A crashed server takes down every
 // request that it was running, so harmless requests are recorded with crashes as well.
-// A content that was answered in full anywhere at about the time of a crash is not
-// suspected of it. A remaining content that is recorded with quarantineThreshold
-// crashes is quarantined, unless each of these crashes also has another content that is
-// recorded with more crashes: then the crashes are attributed to that one. If the
-// content does cause crashes by itself, its next crash without the other content shows
-// it.
+// A content for which some server sent a complete response at about the time of a crash
+// is not suspected of that crash. Any other content that is recorded with
+// quarantineThreshold crashes is quarantined, unless each of these crashes also has
+// another content that is recorded with more crashes: then the crashes are attributed to
+// that other content. If the first content causes crashes by itself as well, it is
+// quarantined after its next crash without the other content.
 
 // evaluate derives the suspected and quarantined contents from the recorded crashes.
 func (l *Ledger) evaluate(now time.Duration) {
@@ -44,8 +44,8 @@
 // Quarantined describes a quarantined content.
 type Quarantined struct {
 	Key Key
-	// Crashes is the number of crashes with which the content is recorded, and Left is
-	// the remaining quarantine time.
+	// Crashes is the number of recorded crashes during which the content was running.
+	// Left is the remaining quarantine time.
 	Crashes int
 	Left    time.Duration
 }
@@ -61,8 +61,8 @@
 	return list
 }
 
-// digest returns a hash of the crash and its contents and paths that does not
-// depend on their order.
+// digest returns a hash of the crash with its contents and paths. It does not depend on
+// the order of the contents and paths.
 func (e *crash) digest() uint64 {
 	digest := uint64(0)
 	for _, p := range e.paths {
@@ -93,8 +93,9 @@
 }
 
 // quarantineExpiry returns the time until which a key that is recorded with enough
-// crashes is quarantined. An Alike key counts only if the Exact keys differ: as long as
-// each crash has the same request, similar requests are not suspected.
+// crashes is quarantined; ok is false if the key is not to be quarantined. An Alike key
+// is quarantined only if at least two requests with different Exact keys are recorded
+// with it: if each crash has the same request, similar ones are not suspected.
 func (l *Ledger) quarantineExpiry(k Key) (until time.Duration, ok bool) {
 	var crashes []time.Duration
 	var exact []Key
@@ -122,14 +123,14 @@
 }
 
 // attributedToOther reports whether a crash has another content that is recorded with
-// more crashes.
+// more crashes than key k.
 func (l *Ledger) attributedToOther(e *crash, k Key) bool {
 	return slices.ContainsFunc(e.contents, func(c Content) bool {
 		return c.Exact != k && c.Alike != k && max(l.crashCounts[c.Exact], l.crashCounts[c.Alike]) > l.crashCounts[k]
 	})
 }
 
-// mix hashes two numbers. The result depends on their order and on every bit.
+// mix returns a hash of two numbers, which depends on their order.
 func mix(a, b uint64) uint64 {
 	const odd = 0x9e3779b97f4a7c15
 	x := bits.RotateLeft64(a*odd, 31) ^ b
--- a/core/quarantine/gossip.go
+++ b/core/quarantine/gossip.go
@@ -9,43 +9,45 @@
 	"cactuspath/core/measure"
 )
 
-// This file synchronises ledgers. News is sent to a few random nodes, and each node
-// that did not know it forwards it: nearly all nodes of a fleet have it within a few
-// round trips, even if some of them just crashed, are partitioned from others or cannot
-// reach a control replica. Lost messages are made up for by repeated comparison with
-// one random node (anti-entropy): first a digest of everything, then, if the digests
-// differ, a hash of each crash, then the crashes that one of the two lacks.
+// This file synchronises ledgers by gossip. A node sends news to a few random nodes, and
+// each node to which it is new forwards it. Nearly all nodes of a fleet receive it within
+// a few round trips, even if some of them just crashed, are partitioned from others or
+// cannot reach a control replica. Lost messages are recovered by anti-entropy: each node
+// periodically compares its ledger with that of one random node. The two nodes exchange
+// first a digest of the whole ledger, then, if the digests differ, a hash of each crash,
+// and then the crashes that one of them lacks.
 
 const (
-	// fanout is the number of nodes to which news is sent. With four, all but 2 % of
-	// the nodes have it at once, whatever the size of the fleet.
+	// fanout is the number of nodes to which a node sends news. With four, forwarding
+	// alone reaches all but 2 % of the nodes, whatever the size of the fleet.
 	fanout = 4
-	// reducedFanout applies to a crash none of whose contents is recorded with another
-	// crash. Most crashes are of this kind, have no consequence yet, and may come in
-	// large numbers.
+	// reducedFanout is the fanout for a crash none of whose contents is recorded with
+	// another crash. Most crashes are of this kind. They do not lead to a quarantine yet,
+	// and many may occur at once.
 	reducedFanout = 2
-	// CompareInterval is the interval between comparisons while the ledger changes, or
-	// after the start of the node, when it may have missed news. With a third of all
-	// datagrams lost, one node in 500 is then two seconds behind.
+	// CompareInterval is the interval between ledger comparisons while the ledger
+	// changes, and during startupPeriod. With this interval, even if a third of all
+	// datagrams is lost, only one node in 500 is two seconds behind.
 	CompareInterval = 250 * time.Millisecond
 	// changePeriod is how long after a change the ledger counts as changing.
 	changePeriod = 5 * time.Second
-	// IdleCompareInterval is the interval between comparisons otherwise, so that a node
-	// that was partitioned soon learns what it missed. emptyCompareInterval is the
-	// interval while the ledger is empty.
+	// IdleCompareInterval is the interval between ledger comparisons while the ledger is
+	// not empty and does not change. It is short so that a node that was partitioned soon
+	// learns what it missed. emptyCompareInterval applies while the ledger is empty.
 	IdleCompareInterval  = time.Second
 	emptyCompareInterval = 2 * time.Second
-	// startupPeriod is how long after its start a node may have missed news.
+	// startupPeriod is how long after its start a node compares every CompareInterval,
+	// since it may lack news that was sent while it was down.
 	startupPeriod = 10 * time.Second
-	// messagesPerSecond and bytesPerSecond limit what a node sends, well within the
-	// bandwidth that control may use. What exceeds them is sent after a later
-	// comparison.
+	// messagesPerSecond and bytesPerSecond limit the messages that a node sends to well
+	// below the bandwidth limit of control traffic. Messages above the limits are
+	// dropped; a later comparison sends their news again.
 	messagesPerSecond = 100
 	bytesPerSecond    = 16 << 10
-	// maxMessageBytes is the size at which news is split into another message, so that
-	// each fits into a datagram.
+	// maxMessageBytes is the maximum size of a message with news, chosen to fit into a
+	// datagram. Larger news is split.
 	maxMessageBytes = 900
-	// Sizes on the wire, including framing.
+	// Sizes of the parts of a message on the wire, in bytes, including framing.
 	messageHeaderBytes = 64
 	crashHeaderBytes   = 24
 	contentBytes       = 16
@@ -54,21 +56,23 @@
 	hashBytes          = 8
 )
 
-// HashRange holds the hashes of all crashes in the sender's ledger between First and
-// Last, both inclusive.
+// HashRange lists the hashes of all crashes in the sender's ledger whose hashes lie
+// between First and Last, both inclusive.
 type HashRange struct {
 	First, Last uint64
 	List        []uint64
 }
 
-// Message is what one node sends to another.
+// Message is a gossip message from one node to another: news, a ledger comparison, or
+// both.
 type Message struct {
 	News
-	// Digest is the digest of the sender's ledger. Compare requests the receiver's
-	// hashes if its digest differs.
+	// Digest is the digest of the sender's ledger. If Compare is set and the receiver's
+	// digest differs, the receiver replies with the hashes of its crashes.
 	Digest  uint64
 	Compare bool
-	// Hashes requests the crashes that the sender lacks, or is nil.
+	// Hashes lists the crashes that the sender knows. The receiver replies with its
+	// other crashes in the range and requests those that it lacks. May be nil.
 	Hashes *HashRange
 	// Asked lists the hashes of crashes that the sender requests.
 	Asked []uint64
@@ -99,9 +103,9 @@
 	return &Gossip{Ledger: NewLedger(), random: random, budget: measure.NewBudget(messagesPerSecond, bytesPerSecond), start: now, comparedAt: now - emptyCompareInterval, changedAt: now - changePeriod}
 }
 
-// SetPeers sets the hosts of all other known nodes. A node that has just started
-// compares at once with some of the first nodes that it learns of: its server may be up
-// already, and the next request may be one that crashed other servers.
+// SetPeers sets the hosts of all other known nodes. The first time, it returns messages
+// that compare the ledger with some of them: this node has just started, its server may
+// already be up, and the next request may be one that crashed other servers.
 func (g *Gossip) SetPeers(now time.Duration, hosts []string) []Envelope {
 	first := len(g.peers) == 0
 	g.peers = hosts
@@ -118,7 +122,8 @@
 // Peers returns the number of other known nodes.
 func (g *Gossip) Peers() int { return len(g.peers) }
 
-// Broadcast sends news that originated on this node to some other nodes.
+// Broadcast returns the messages that send this node's own news to some random nodes,
+// which forward it.
 func (g *Gossip) Broadcast(now time.Duration, news News) []Envelope { return g.forward(now, news, "") }
 
 // Receive processes a message and returns the messages to send in response.
@@ -159,8 +164,8 @@
 	}
 }
 
-// replyToHashes sends the crashes that the sender lacks and requests those that are
-// missing here.
+// replyToHashes sends the crashes that the sender of the hashes lacks and requests those
+// that this node lacks.
 func (g *Gossip) replyToHashes(now time.Duration, from string, m HashRange) []Envelope {
 	missing := func(hash uint64) bool { return m.First <= hash && hash <= m.Last && !slices.Contains(m.List, hash) }
 	own := g.Ledger.hashes()
@@ -172,7 +177,8 @@
 	return append(out, g.sendNews(now, from, News{Crashes: g.crashesByPriority(now, missing)})...)
 }
 
-// Tick must be called every CompareInterval.
+// Tick removes expired crashes and returns the messages of a ledger comparison if one is
+// due. It must be called every CompareInterval.
 func (g *Gossip) Tick(now time.Duration) []Envelope {
 	g.Ledger.Tick(now)
 	if digest := g.Ledger.Digest(); digest != g.digest {
@@ -186,8 +192,8 @@
 	return g.admit(now, []Envelope{{To: peer, Message: g.Compare()}})
 }
 
-// Compare returns a message that requests what the receiver's ledger holds and this
-// node's does not.
+// Compare returns a message that starts a ledger comparison with its receiver, after
+// which both ledgers hold the crashes of either.
 func (g *Gossip) Compare() Message { return Message{Digest: g.Ledger.Digest(), Compare: true} }
 
 // compareInterval returns the interval between two comparisons.
@@ -203,7 +209,8 @@
 	return IdleCompareInterval
 }
 
-// NeedsSync reports whether the ledger is not empty or may have missed news.
+// NeedsSync reports whether this node needs regular comparisons: its ledger is not empty,
+// or it started so recently that it may lack news.
 func (g *Gossip) NeedsSync(now time.Duration) bool {
 	return g.compareInterval(now) != emptyCompareInterval
 }
@@ -231,10 +238,10 @@
 	return out
 }
 
-// crashesByPriority returns the crashes whose hashes are wanted. Crashes with contents
-// that are recorded with other crashes as well come first, since they matter most if
-// the budget does not suffice for all. The others are in random order, so that each is
-// sent eventually.
+// crashesByPriority returns the crashes whose hashes are wanted. Crashes whose contents
+// are recorded with the most crashes come first, since these contents are the closest to
+// a quarantine and the budget may not suffice for all crashes. Crashes of equal priority
+// are in random order, so that each is sent eventually.
 func (g *Gossip) crashesByPriority(now time.Duration, wanted func(hash uint64) bool) []Crash {
 	all := g.Ledger.SelectCrashes(now, wanted)
 	g.random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -252,7 +259,7 @@
 	return highest
 }
 
-// sendNews wraps news in messages.
+// sendNews returns the messages that send news to one node, as far as the budget allows.
 func (g *Gossip) sendNews(now time.Duration, to string, news News) []Envelope {
 	if news.Empty() {
 		return nil
--- a/core/quarantine/gossip_test.go
+++ b/core/quarantine/gossip_test.go
@@ -122,15 +122,15 @@
 }
 
 // maxPropagation is the time within which all nodes must know of a quarantine. It is
-// below the three seconds that users allow, because requests sent in the last moment
-// count as well.
+// below the three seconds that users allow, to leave time for requests that are sent to a
+// server just before its node learns of the quarantine.
 const maxPropagation = 2 * time.Second
 
 // TestAllNodesLearnInTime guards against nodes that learn too late of a quarantine. A
-// request crashes servers at three nodes while a popular request runs beside it, and
-// may be retried at any node. All nodes must quarantine it in time at every fleet size,
-// despite datagram loss, restarts and partitions and without control replicas, and none
-// may quarantine the popular request.
+// fatal request crashes servers at three nodes while a popular request runs on the same
+// servers. The fatal request may be retried at any node, so all nodes must quarantine it
+// within maxPropagation at every fleet size, despite datagram loss, restarts and
+// partitions and without control replicas. No node may quarantine the popular request.
 func TestAllNodesLearnInTime(t *testing.T) {
 	fatal, popular := get("/fatal"), get("/popular")
 	for _, size := range []int{6, 13, 65, 195} {
@@ -230,9 +230,9 @@
 }
 
 // TestManyCrashesDoNotHideTheFatalRequest guards against a quarantine that is delayed
-// by other news. A fifth of a fleet's servers crash at once, each with all slots taken
-// by requests that nobody sent before, and a fatal request on three of them. The news
-// exceeds the per-second budget many times over.
+// by other news. A fifth of a fleet's servers crash at once, each while running 16
+// different harmless requests. Three of them also run the same fatal request. The news of
+// all crashes exceeds the per-second budget many times over.
 func TestManyCrashesDoNotHideTheFatalRequest(t *testing.T) {
 	const size = 195
 	f := newFleet(size, 0.05)
@@ -252,9 +252,9 @@
 	assert.DeepEqual(t, f.admitting(fatal), []string(nil))
 }
 
-// TestStartedNodeLearnsAtOnce guards against a started node that runs a request that
-// crashed three servers and is retried again and again, because the node waits for its
-// next regular comparison while its server is already up.
+// TestStartedNodeLearnsAtOnce guards against a node that has just started and passes a
+// request that crashed three servers to its own server, because the server is up before
+// the node's first regular ledger comparison. Such a request is retried again and again.
 func TestStartedNodeLearnsAtOnce(t *testing.T) {
 	f := newFleet(20, 0)
 	fatal := get("/fatal")
@@ -268,9 +268,9 @@
 }
 
 // TestUnfoundedSuspicionIsCorrected guards against a lasting quarantine of a popular
-// request. A node that was partitioned sees its server crash three times while running
-// a request that is answered elsewhere all the time. Nodes that know of the answers
-// must correct it.
+// request. A partitioned node sees its server crash three times while running a request
+// that other servers complete all the time. Nodes that know of these completions must
+// send them to it.
 func TestUnfoundedSuspicionIsCorrected(t *testing.T) {
 	popular := get("/popular")
 	f := newFleet(2, 0)
--- a/core/quarantine/ledger.go
+++ b/core/quarantine/ledger.go
@@ -7,27 +7,29 @@
 )
 
 const (
-	// quarantineThreshold is the number of servers that a request may crash before it
-	// is quarantined. A harmless request may run beside the cause of one or two
-	// crashes.
+	// quarantineThreshold is the number of crashes after which a request that was running
+	// in all of them is quarantined. In one or two of them, a harmless request may by
+	// chance be running on the same server as the request that causes the crash.
 	quarantineThreshold = 3
 	// crashRetention is how long a crash counts. A quarantined request is admitted
 	// again once its crashes are that old, and one more crash quarantines it again.
 	crashRetention = 10 * time.Minute
-	// completionWindow is how long before a crash a request with the same content may
-	// have completed to be cleared of that crash. Requests that servers run all the
-	// time are recorded with most crashes, and servers may crash faster than such a
-	// request is answered anywhere.
+	// completionWindow is how long before a crash a request may have completed, on any
+	// server, to clear its content of that crash. It protects frequent requests: servers
+	// run them all the time, so they are recorded with most crashes, and several servers
+	// may crash before such a request completes again.
 	completionWindow = 30 * time.Second
 	// expiryMargin is how long before its expiry a crash is no longer accepted from
-	// other nodes. Nodes that expire it at slightly different times would otherwise
-	// send it to each other forever.
+	// other nodes. Nodes expire it at slightly different times; without the margin, a node
+	// that has expired it would receive it again from one that has not, and so on forever.
 	expiryMargin = 10 * time.Second
-	// maxCrashes limits the number of recorded crashes, and maxContents the contents of
-	// each, above the number of slots of a server. Together they take at most 1 MB.
+	// maxCrashes limits the number of recorded crashes. maxContents limits the contents
+	// of each crash; it exceeds the number of requests that a server runs at a time.
+	// Together they limit the ledger's memory to 1 MB.
 	maxCrashes  = 256
 	maxContents = 128
-	// maxCompletions limits the completions that are kept for crashes not yet known.
+	// maxCompletions limits the completions that are kept in case they clear contents of
+	// crashes that this node does not know of yet.
 	maxCompletions = 4096
 )
 
@@ -40,20 +42,22 @@
 	// Age is the time since the crash.
 	Age      time.Duration
 	Contents []Content
-	// Paths are those of requests with streamed bodies. For requests with these paths
-	// the beginning of the body is read before a server gets them.
+	// Paths are the paths of running requests whose bodies were streamed, so that their
+	// contents were not known. A later request with such a path is sent to a server only
+	// after the beginning of its body has been read.
 	Paths []Key
 }
 
-// Completion records that a request with this key was answered in full.
+// Completion records that a server sent the complete response to a request with this
+// key, and thus survived it.
 type Completion struct {
 	Key Key
-	// Age is the time since the answer.
+	// Age is the time since the end of the response.
 	Age time.Duration
 }
 
-// News is the information that ledgers exchange. Applying it repeatedly or in any order
-// gives the same result.
+// News is the information that ledgers exchange. The order in which a ledger receives
+// news, and repetitions of it, do not affect the result.
 type News struct {
 	Crashes     []Crash
 	Completions []Completion
@@ -82,14 +86,15 @@
 type Ledger struct {
 	// crashes is in the order in which they became known.
 	crashes []*crash
-	// completed is the time at which a request with the key was last known to be
-	// answered in full by any server. recentCompletions holds those of this node's own
-	// server.
+	// completed holds the time of the latest completion of each key on any server, as far
+	// as it concerns a crash or was received from another node. recentCompletions holds
+	// all recent completions on this node's own server.
 	completed         map[Key]time.Duration
 	recentCompletions recentCompletions
 	// changed is set if the crashes have changed since the last call of evaluate, which
 	// derives the fields below: the number of crashes for each key, the paths of
-	// streamed requests, the end of each quarantine, and a hash of all crashes.
+	// requests with streamed bodies, the end of each quarantine, and a hash of all
+	// crashes.
 	changed          bool
 	crashCounts      map[Key]int
 	paths            map[Key]bool
@@ -122,8 +127,9 @@
 	return forward
 }
 
-// Completed records that this node's server answered a request in full. It returns the
-// news for other nodes, which is empty unless the content is suspected.
+// Completed records that this node's server sent the complete response to a request. It
+// returns the news for other nodes, which is empty unless this clears the content of a
+// recorded crash.
 func (l *Ledger) Completed(now time.Duration, c Content) News {
 	if !c.Known() {
 		return News{}
@@ -139,9 +145,9 @@
 	return news
 }
 
-// Learn applies news from another node. It returns the part that was new here and is to
-// be forwarded, and completions that show the sender that a suspicion of its own is
-// unfounded.
+// Learn applies news from another node. forward is the part that was new to this node and
+// should be sent on to others. correction holds the completions to send back: they clear
+// contents that the sender still suspects.
 func (l *Ledger) Learn(now time.Duration, news News) (forward, correction News) {
 	for _, c := range news.Completions {
 		if c.Key != 0 && l.learnCompletion(now, c) {
@@ -163,17 +169,19 @@
 	return forward, correction
 }
 
-// learnCompletion reports whether the completion is worth forwarding: it clears a
-// content, or may do so later. A completion that returns through other nodes seems
-// slightly younger each time, because the transit time is not included in its age.
+// learnCompletion applies a completion and reports whether to forward it: it clears a
+// content now, or may clear one later that the known completion does not. A completion
+// must be much later than the known one to be forwarded for the second reason: one that
+// returns through other nodes seems slightly later each time, because its age does not
+// include the transit time.
 func (l *Ledger) learnCompletion(now time.Duration, c Completion) bool {
 	heard := now - c.Age
 	at, known := l.completed[c.Key]
 	return l.applyCompletion(c.Key, heard) || !known || heard > at+completionWindow/2
 }
 
-// applyCompletion records a completion and removes its key from the crashes that it
-// clears the key of. It reports whether there were any.
+// applyCompletion records a completion and removes its key from the crashes of which the
+// completion clears it. It reports whether there were any.
 func (l *Ledger) applyCompletion(k Key, at time.Duration) (cleared bool) {
 	if known, ok := l.completed[k]; !ok || at > known {
 		l.completed[k] = at
@@ -215,9 +223,9 @@
 	return c
 }
 
-// learnCrash records a crash, or adds to it if parts of it are known already. shared
-// holds the completions that clear contents of the crash and are known to other nodes,
-// and local those that only this node knows of.
+// learnCrash records a crash, or adds to it if parts of it are known already. added is
+// the part that was new. shared holds the completions that clear contents of the crash
+// and are known to other nodes, and local those that only this node knows of.
 func (l *Ledger) learnCrash(now time.Duration, e Crash) (added Crash, shared, local []Completion) {
 	held := l.crash(e.ID)
 	isNew := held == nil
@@ -264,8 +272,8 @@
 
 func truncate[T any](list []T, limit int) []T { return list[:min(len(list), limit)] }
 
-// completion returns the time of a completion that clears a key of a crash at the given
-// time. localOnly is set if only this node knew of it.
+// completion returns the time of a completion that clears a key of a crash at crashedAt;
+// ok is false if there is none. localOnly is set if only this node knew of it.
 func (l *Ledger) completion(k Key, crashedAt time.Duration) (at time.Duration, localOnly, ok bool) {
 	if at, ok := l.completed[k]; ok && crashedAt <= at+completionWindow {
 		return at, false, true
@@ -295,8 +303,8 @@
 	l.applyChanges(now)
 }
 
-// applyChanges enforces the limits, removes crashes without suspects and, after
-// changes, derives the quarantine anew.
+// applyChanges enforces the limits on the ledger's size. If the crashes have changed, it
+// also removes those without suspected contents and recomputes the quarantine.
 func (l *Ledger) applyChanges(now time.Duration) {
 	for k := range l.completed {
 		if len(l.completed) <= maxCompletions {
@@ -335,6 +343,6 @@
 	return list
 }
 
-// Digest returns a hash of the ledger, which is equal for ledgers that suspect the same
-// contents of the same crashes. It is 0 for ledgers without suspects.
+// Digest returns a hash of the recorded crashes. It is equal for ledgers that suspect the
+// same contents and paths of the same crashes, and 0 if no crash is recorded.
 func (l *Ledger) Digest() uint64 { return l.digest }
--- a/core/quarantine/ledger_test.go
+++ b/core/quarantine/ledger_test.go
@@ -60,8 +60,8 @@
 }
 
 // TestPopularRequestIsNotQuarantined guards against the quarantine of a request that
-// servers run all the time and that is therefore recorded with every crash. It was
-// answered shortly before on another host, whose ledger remembers the answer.
+// servers run all the time and that is therefore recorded with every crash. Shortly
+// before, it completed on another host, whose ledger remembers the completion.
 func TestPopularRequestIsNotQuarantined(t *testing.T) {
 	here, elsewhere := NewLedger(), NewLedger()
 	popular, fatal := get("/popular"), get("/fatal")
@@ -81,9 +81,9 @@
 	}
 }
 
-// TestLaterAnswerEndsQuarantine guards against the lasting quarantine of a rare request
-// that ran on three crashed servers. When a server that already had it answers it, it
-// must be served again on all nodes.
+// TestLaterAnswerEndsQuarantine guards against the lasting quarantine of a rare, harmless
+// request that by chance ran on three crashed servers. Once another server, which was
+// already running it when it was quarantined, completes it, all nodes must admit it again.
 func TestLaterAnswerEndsQuarantine(t *testing.T) {
 	l, other := NewLedger(), NewLedger()
 	rare := get("/rare")
@@ -98,8 +98,8 @@
 	assert.Assert(t, l.Completed(2*time.Second, rare).Empty(), "the content is not suspected any more")
 }
 
-// TestOldAnswerDoesNotPreventQuarantine guards against serving a request that was
-// answered for a long time and then starts to crash servers.
+// TestOldAnswerDoesNotPreventQuarantine guards against serving a request that completed
+// normally in the past and crashes servers now.
 func TestOldAnswerDoesNotPreventQuarantine(t *testing.T) {
 	l := NewLedger()
 	fatal := get("/turned")
@@ -110,9 +110,9 @@
 	assert.Assert(t, l.QuarantinedFor(completionWindow+time.Second, fatal) > 0)
 }
 
-// TestSenderIsCorrected guards against a lasting suspicion on a node that learns late
-// of a crash or missed the answer that clears its contents. The node that knows of the
-// answer must send it.
+// TestSenderIsCorrected guards against a node that keeps suspecting a content because it
+// did not receive the completion that clears it. When the node sends the crash to another
+// node that knows of the completion, that node must send the completion back.
 func TestSenderIsCorrected(t *testing.T) {
 	l, late := NewLedger(), NewLedger()
 	popular := get("/popular")
@@ -125,24 +125,24 @@
 }
 
 // TestVaryingRequestIsRecognised guards against a request that evades the quarantine
-// with another query for each retry, or through hosts of other services. It is
-// recognised once two of its variants have crashed servers. As long as the request is
-// the same each time, variants of it must be served.
+// because each retry has another query or comes from another service. It must be
+// quarantined once two of its variants have crashed servers. As long as the crashing
+// request is the same each time, variants of it must be served.
 func TestVaryingRequestIsRecognised(t *testing.T) {
 	for _, c := range []struct {
 		desc        string
-		ends        []Content
+		crashing    []Content
 		other       Content
 		quarantined bool
 	}{
 		{"another query each time", []Content{get("/a?1"), get("/a?2"), get("/a")}, get("/a?4"), true},
-		{"through other hosts", []Content{getFrom("x", "/a"), getFrom("y", "/a"), getFrom("x", "/a")}, getFrom("z", "/a"), true},
+		{"from other services", []Content{getFrom("x", "/a"), getFrom("y", "/a"), getFrom("x", "/a")}, getFrom("z", "/a"), true},
 		{"the same each time", []Content{get("/a?1"), get("/a?1"), get("/a?1")}, get("/a?2"), false},
 		{"another path each time", []Content{get("/a"), get("/b"), get("/c")}, get("/d"), false},
 	} {
 		t.Run(c.desc, func(t *testing.T) {
 			l := NewLedger()
-			for _, content := range c.ends {
+			for _, content := range c.crashing {
 				l.RecordCrash(0, newCrash(content))
 			}
 			assert.Equal(t, l.QuarantinedFor(0, c.other) > 0, c.quarantined)
@@ -150,8 +150,8 @@
 	}
 }
 
-// TestAnswersToSimilarRequestsDoNotPreventQuarantine guards against clearing a request
-// that is the same each time by answers to similar requests.
+// TestAnswersToSimilarRequestsDoNotPreventQuarantine guards against completions of similar
+// requests that clear a request which is the same in each crash.
 func TestAnswersToSimilarRequestsDoNotPreventQuarantine(t *testing.T) {
 	l := NewLedger()
 	for range quarantineThreshold {
@@ -163,8 +163,8 @@
 }
 
 // TestRequestBesideTheCauseIsNotQuarantined guards against the quarantine of a request
-// that merely ran beside one that is recorded with more crashes. If it also crashes a
-// server by itself, the next crash must quarantine it.
+// that ran only on servers that also ran another request, recorded with more crashes. A
+// crash in which the first request runs without the other one must quarantine it.
 func TestRequestBesideTheCauseIsNotQuarantined(t *testing.T) {
 	l := NewLedger()
 	fatal, harmless := get("/fatal"), get("/company")
@@ -190,8 +190,9 @@
 	assert.Assert(t, l.QuarantinedFor(0, two) > 0)
 }
 
-// TestPathStaysSuspected guards against streaming a body unread to a server where such
-// a body has crashed one, whatever else was answered on that path since.
+// TestPathStaysSuspected guards against streaming a body to a server unread although a
+// request with a streamed body and the same path has crashed one. Other requests with
+// that path that completed since must not clear the path.
 func TestPathStaysSuspected(t *testing.T) {
 	l := NewLedger()
 	path := PathOf(Target{Method: "POST", Host: "h", URI: "/up?x"})
--- a/core/quarantine/recent.go
+++ b/core/quarantine/recent.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// maxRecentCompletions is the number of contents whose last completion a node
-	// remembers, in 64 KB: those of about a minute at a busy server. A frequent content
-	// is recorded again each time, even if another one has replaced it meanwhile.
+	// maxRecentCompletions is the number of keys whose last completion a node remembers.
+	// They take 64 KB and cover about a minute at a busy server. The key of a frequent
+	// request is soon recorded again if another key has replaced it.
 	maxRecentCompletions = 4096
 	recentResolution     = time.Millisecond
 )
 
-// recentCompletions remembers which contents completed on this host lately. Contents
-// with the same remainder of their keys replace each other.
+// recentCompletions remembers when requests recently completed on this host, by key. It is
+// a hash table of fixed size: a key replaces another one in the same entry.
 type recentCompletions struct {
 	entries []recentEntry
 }
