--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -1,6 +1,6 @@
-// Package retry decides what to do after an attempt ended without an answer. Only
-// attempts that certainly did not run, or idempotent requests, are retried, and only
-// within a budget, so that retries cannot amplify a failure.
+// Package retry decides what to do with a request after an attempt to run it has ended. A
+// request is retried only if it certainly did not run or is idempotent, and only within a
+// budget, so that retries cannot amplify a failure.
 //
 // The types do no I/O and are not safe for concurrent use.
 package retry
@@ -15,30 +15,31 @@
 
 // Results of an attempt.
 const (
-	// Answered: the backend server answered. The answer is final whatever its status.
-	// The layers above do not retry it either, so a failure 22 layers deep costs one
-	// set of retries instead of one per layer.
+	// Answered: the backend server sent a response. The response is final whatever its
+	// status. The layers above, the services that called this one, do not retry it
+	// either, so a failure 22 layers deep is retried in one layer instead of in each.
 	Answered Result = iota
-	// Moved: the gate named a sibling that will take the request.
+	// Moved: the gate did not run the request and named a sibling that has capacity for
+	// it.
 	Moved
 	// Restarted: the endpoint's node has restarted since its directory entry was read.
-	// The request did not run and may be sent to the node's new incarnation.
+	// The request did not run and may be sent to the restarted node.
 	Restarted
 	// NotRunAnywhere: the gate refused the request and knows that its siblings have no
 	// capacity either. Another attempt would add load and be refused as well.
 	NotRunAnywhere
-	// Draining: the gate refused the request because its server is draining. This says
-	// nothing about load and happens once for each request in flight. It does not use
-	// the budget, since a planned stop could otherwise exhaust the budget and fail the
-	// requests that it moves.
+	// Draining: the gate refused the request because its server is draining. This does
+	// not indicate overload, and each request in flight is refused only once per draining
+	// server. The retry does not use the budget: otherwise a planned stop could exhaust
+	// the budget and fail the requests that have to move to other servers.
 	Draining
 	// Unreachable: no connection could be made to the endpoint's node, or from there to
-	// its backend server. Nothing was sent, so another attempt duplicates nothing. It
-	// does not use the budget: otherwise, after rejections elsewhere have exhausted the
-	// budget, one slow link would fail requests that every other endpoint could serve.
+	// its backend server. Nothing was sent, so another attempt duplicates nothing. The
+	// retry does not use the budget: otherwise, after rejections elsewhere have exhausted
+	// the budget, one slow link would fail requests that every other endpoint could serve.
 	Unreachable
-	// NotRun: the gate refused the request, or a revoke established that it never
-	// started. It did not reach a backend server.
+	// NotRun: the request did not reach a backend server. Either the gate refused it, or
+	// the request was revoked and the gate had not passed it on to the server.
 	NotRun
 	// Rejected: the backend server reported that it did not run the request.
 	Rejected
@@ -51,7 +52,7 @@
 
 // Actions.
 const (
-	// Deliver passes the answer on to the caller.
+	// Deliver passes the response on to the caller.
 	Deliver Action = iota
 	// RetryNamed sends the request to the sibling that the gate named, or again to the
 	// same endpoint after its node restarted.
@@ -64,15 +65,15 @@
 	GiveUpUnknown
 )
 
-// maxMoves limits how often gates may move one request. The second move lets a request
-// leave a sibling that became slow while it was in transit; more would let gates pass a
-// request in circles.
+// maxMoves limits how often gates may move one request to a sibling. The second move lets
+// a request leave a sibling that became slow while the request was in transit. More moves
+// could send a request around in circles between gates.
 const maxMoves = 2
 
 // minGateAttempts is the number of gates to which a request may be sent even if
-// MaxAttempts is lower, as long as no gate passed it on to its server. A refusal by a
-// gate costs its backend server nothing, and a planned stop refuses a request wherever
-// it was sent.
+// MaxAttempts is lower, as long as no gate has passed it on to a backend server. A refusal
+// by a gate costs the backend server nothing, and during a planned stop each gate to which
+// a request is sent may refuse it.
 const minGateAttempts = 3
 
 // Request tracks the attempts of one request.
@@ -92,8 +93,8 @@
 // Movable reports whether a gate may still move the request.
 func (r *Request) Movable() bool { return r.moves < maxMoves }
 
-// Next returns the action after an attempt. othersLeft is set if there is an endpoint
-// that was not tried or is worth trying again.
+// Next records the result of an attempt and returns the next action. othersLeft states
+// that there is an endpoint that was not tried or is worth trying again.
 func (r *Request) Next(result Result, budget *Budget, othersLeft bool) Action {
 	r.attempts++
 	switch result {
@@ -126,8 +127,9 @@
 	return RetryOther
 }
 
-// Hedge reports whether a second attempt may run in parallel with the first, for an
-// idempotent request whose server became slow while running it.
+// Hedge reports whether a hedged request, a second attempt in parallel with the first, may
+// be sent because the server became slow while running the request. The request must be
+// idempotent. If so, the attempt is counted and taken from the budget.
 func (r *Request) Hedge(budget *Budget) bool {
 	if !r.Idempotent || r.reached+1 >= r.MaxAttempts || !budget.Take() {
 		return false
@@ -136,9 +138,8 @@
 	return true
 }
 
-// GiveUp returns the action for a request that is not retried. It accounts for earlier
-// attempts: if one of them may have run, the outcome of the request is unknown, however
-// the last attempt ended.
+// GiveUp returns the action for a request that is not retried any more: GiveUpUnknown if
+// any of its attempts may have run, however the last one ended, or else GiveUpNotRun.
 func (r *Request) GiveUp() Action {
 	if r.mayHaveRun {
 		return GiveUpUnknown
@@ -146,14 +147,15 @@
 	return GiveUpNotRun
 }
 
-// Budget limits retries to a proportion of calls. What calls earn is capped, so that a
-// quiet hour does not pay for a retry storm.
+// Budget limits retries to a proportion of calls: each call earns a fraction of a retry.
+// The number of retries saved up is capped, so that hours of calls without failures do not
+// allow a retry storm.
 type Budget struct {
 	perMille int
 	// earned is the number of retries earned by calls, at most earnedLimit.
 	earned, earnedLimit float64
-	// slack is the number of retries earned by time, at most slackLimit. slackRate is
-	// its increase per second.
+	// slack is the number of retries available regardless of calls, at most slackLimit.
+	// It increases by slackRate per second.
 	slack, slackLimit, slackRate float64
 	// earnedDecay is the time constant with which earned retries decay; 0 means no
 	// decay.
@@ -179,21 +181,23 @@
 func (b *Budget) Set(perMille int) { b.perMille = perMille }
 
 const (
-	// shareMargin leaves a part of a budget that all nodes share unused. It covers
-	// retries saved up before a window, and nodes that the others do not know of yet.
+	// shareMargin is the fraction of a budget shared by all nodes that they divide among
+	// themselves. The rest covers retries saved up before a window, and nodes that the
+	// others do not know of yet.
 	shareMargin = 0.8
 	// decaysPerWindow is the number of decay time constants in a window. With a time
 	// constant of a quarter of a window, the retries saved up before a window and those
 	// earned in it stay within ratio / shareMargin.
 	decaysPerWindow = 4
-	// sharedEarnedLimit is the number of retries that a node may save up.
+	// sharedEarnedLimit is the number of retries that a node may save up after SetShare.
 	sharedEarnedLimit = 50
 )
 
-// SetShare sets the budget to this node's share of a budget of all nodes for each
-// window: ratio times its own calls, plus slack divided by the number of nodes. Half of
-// its slack may be spent at once and the other half is refilled over a window, so that
-// no window exceeds the total.
+// SetShare sets the budget to this node's share of a budget that all nodes share. Per
+// window of time, the shared budget is ratio times the calls of all nodes, plus slack; the
+// share is ratio times this node's calls, plus slack divided by the number of nodes. Half
+// of the share of slack may be spent at once and the other half is refilled over a window,
+// so that no window exceeds the total.
 func (b *Budget) SetShare(ratio, slack float64, nodes int, window time.Duration) {
 	share := shareMargin * slack / float64(max(1, nodes))
 	first := b.earnedDecay == 0
@@ -215,15 +219,15 @@
 	b.earned *= math.Exp(-float64(elapsed) / float64(b.earnedDecay))
 }
 
-// RecordCall counts an incoming call.
+// RecordCall counts an incoming call, which earns a fraction of a retry.
 func (b *Budget) RecordCall() {
 	b.earned = min(b.earned+float64(b.perMille)*perMilleUnit, b.earnedLimit)
 }
 
-// Take takes one retry from the budget and reports whether the budget allowed it. A
-// ratio of 0 allows none.
+// Take takes one retry from the budget and reports whether the budget allowed it. A budget
+// of 0 retries per thousand calls allows none.
 func (b *Budget) Take() bool {
-	// Multiples of 1/1000 do not add up to exactly 1 in floating point.
+	// Less than 1: multiples of 1/1000 do not add up to exactly 1 in floating point.
 	const minBalance = 1 - 1e-9
 	if b.perMille == 0 || b.earned+b.slack < minBalance {
 		b.Refused++
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -44,10 +44,10 @@
 	}
 }
 
-// TestMayHaveRunIsNeverRetriedNorCalledNotRun guards against running a request twice:
-// one that is not idempotent must not be retried after an attempt that may have run. It
-// also guards against reporting such a request as not run.
-func TestMayHaveRunIsNeverRetriedNorCalledNotRun(t *testing.T) {
+// TestUnknownOutcomeIsNotRetriedOrReportedAsNotRun guards against running a request
+// twice: one that is not idempotent must not be retried after an attempt that may have
+// run. It also guards against reporting any request as not run after such an attempt.
+func TestUnknownOutcomeIsNotRetriedOrReportedAsNotRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Request{Idempotent: rapid.Bool().Draw(t, "idempotent"), MaxAttempts: rapid.IntRange(1, 5).Draw(t, "max")}
 		budget := NewBudget(1000)
@@ -71,9 +71,9 @@
 
 // TestChainOf22LayersDoesNotMultiplyRetries guards against retries that multiply along
 // a call chain. Calls go 22 layers deep and the last layer fails completely. Each layer
-// has a budget of its own and must stay at 1.2 attempts per call, since the layer above
-// gets an answer rather than a reason to retry. If every layer retried, the last one
-// would get 3 to the power of 22 attempts.
+// has its own retry budget and must make at most 1.2 attempts per call: a layer that gives
+// up sends an error response to the layer above, which does not retry. If every layer
+// retried, the last one would get 3 to the power of 22 attempts.
 func TestChainOf22LayersDoesNotMultiplyRetries(t *testing.T) {
 	const layers, calls = 22, 20_000
 	budgets := make([]*Budget, layers)
@@ -93,7 +93,7 @@
 		for {
 			attempts[layer]++
 			if r.Next(serve(layer+1), budgets[layer], true) != RetryOther {
-				// The layer's backend server answers its caller with an error.
+				// The layer's backend server sends an error response to its caller.
 				return Answered
 			}
 		}
@@ -108,8 +108,8 @@
 }
 
 // TestPlannedStopCostsNoRetryBudget guards against requests that fail in a planned
-// stop. A host drains under load and refuses more waiting requests than the retry
-// budget allows; all of them must go to other endpoints.
+// stop. A host drains under load and refuses more waiting requests than the retry budget
+// allows. All of them must be retried on other endpoints, without using the budget.
 func TestPlannedStopCostsNoRetryBudget(t *testing.T) {
 	budget := NewBudget(10)
 	for range 100 {
@@ -124,10 +124,11 @@
 	assert.Assert(t, !NewBudget(0).Take())
 }
 
-// TestRefusalAtAGateIsNoAttempt guards against giving up too early on a route that
-// allows one attempt. A request refused by draining gates has reached no backend server
-// and goes on to the next gate. A request rejected by a server has used its attempt.
-func TestRefusalAtAGateIsNoAttempt(t *testing.T) {
+// TestGateRefusalDoesNotUseUpAttempts guards against giving up too early on a route that
+// allows one attempt. A request refused by gates has reached no backend server and must be
+// sent to the next gate, up to minGateAttempts. A request rejected by a backend server has
+// used its attempt.
+func TestGateRefusalDoesNotUseUpAttempts(t *testing.T) {
 	r := Request{MaxAttempts: 1}
 	budget := NewBudget(100)
 	assert.Equal(t, r.Next(Draining, budget, true), RetryOther)
@@ -137,11 +138,12 @@
 	assert.Equal(t, rejected.Next(Rejected, budget, true), GiveUpNotRun)
 }
 
-// TestUnreachableCostsNoBudget guards against refusals while other endpoints have
-// capacity. Servers of the service reject requests, and the retries exhaust the budget.
-// Then the link to one host is saturated and its connections time out. The requests
-// sent there were given up for lack of budget, with most of their time left. Nothing
-// was sent, so the next attempt is the first to arrive.
+// TestUnreachableCostsNoBudget guards against failing requests while other endpoints have
+// capacity. Backend servers reject requests, and the retries exhaust the budget. Then the
+// link to one host is saturated, so that connections to it time out. If an attempt without
+// a connection needed the budget, requests for that host would fail with most of their
+// timeout left, although nothing was sent and the next attempt would be the first to reach
+// a server.
 func TestUnreachableCostsNoBudget(t *testing.T) {
 	budget := NewBudget(0)
 	assert.Assert(t, !budget.Take())
--- a/core/retry/shared_test.go
+++ b/core/retry/shared_test.go
@@ -8,9 +8,11 @@
 	"pgregory.net/rapid"
 )
 
-// TestNodesWithinTheirSharesStayWithinTheWhole guards against exceeding a budget that
-// many nodes share: ratio times the calls of a window, plus slack once. If each node
-// stays within its share, no window may exceed the total.
+// TestNodesWithinTheirSharesStayWithinTheWhole guards against exceeding a retry budget that
+// many nodes share: ratio times the calls of all nodes in a window, plus slack. If each
+// node stays within its share, the retries in any window must stay within this total. The
+// calls of a window are those of the window itself or of the previous one, whichever are
+// more, since nodes may save up retries.
 func TestNodesWithinTheirSharesStayWithinTheWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const (
@@ -61,6 +63,8 @@
 	return total
 }
 
+// TestHedgeIsForIdempotentRequestsWithAnAttemptLeft guards against hedged requests that
+// would run a non-idempotent request twice, or exceed the attempts or the budget.
 func TestHedgeIsForIdempotentRequestsWithAnAttemptLeft(t *testing.T) {
 	cases := []struct {
 		desc       string
@@ -70,7 +74,7 @@
 		want       bool
 	}{
 		{"idempotent", true, 2, 100, true},
-		{"a payment never", false, 2, 100, false},
+		{"not idempotent", false, 2, 100, false},
 		{"one attempt only", true, 1, 100, false},
 		{"no budget", true, 2, 0, false},
 	}
