--- a/core/overload/detector_test.go
+++ b/core/overload/detector_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestDetector guards against reporting short delays or a single pause as an overload,
-// and against missing an overload in which some timers fire on time.
+// and against missing an overload during which some timers still fire on time.
 func TestDetector(t *testing.T) {
 	for _, tc := range []struct {
 		desc       string
@@ -49,7 +49,8 @@
 		d.Observe(now, 80*time.Millisecond)
 	}
 	assert.Assert(t, d.Overloaded())
-	// Requests that arrive in the 80 ms of delay in every 100 ms wait 40 ms on average.
+	// Of every 100 ms, the process is delayed for 80 ms. Requests that arrive in these
+	// 80 ms wait 40 ms on average and the others not at all, so the mean is 32 ms.
 	assert.Equal(t, d.Delay(), 32*time.Millisecond)
 	for range 20 {
 		now += 20 * time.Millisecond
--- a/core/overload/shedder.go
+++ b/core/overload/shedder.go
@@ -7,39 +7,44 @@
 )
 
 const (
-	// increasePerSecond and decreasePerSecond are the rates at which the integral term
-	// changes. It rises faster than it falls, because refusing too few delays every
-	// request, while refusing too many affects only the refused ones.
+	// increasePerSecond and decreasePerSecond are the rates at which the integral term of
+	// the refused share changes. It rises faster than it falls, because refusing too few
+	// requests delays every request, while refusing too many affects only the refused ones.
 	increasePerSecond = 0.5
 	decreasePerSecond = 0.1
 	// maxStep limits the change of the integral term after a window that ended late.
 	maxStep = 400 * time.Millisecond
-	// maxShare is the largest share to refuse. The few admitted requests show by their
-	// cost when the overload has ended.
+	// maxShare is the largest share of requests to refuse. A few requests are always
+	// admitted, since the delay while they are served shows when the overload has ended.
 	maxShare = 0.98
 	// fullSheddingDelay is the delay above the threshold at which nearly all requests are
 	// refused, so that the backlog is cleared first.
 	fullSheddingDelay = 200 * time.Millisecond
-	// maxRanks limits the number of ranks tracked per origin.
+	// maxRanks limits the number of ranks tracked per origin. Requests of further ranks are
+	// not refused.
 	maxRanks = 64
-	// minRecent is the number of recent arrivals below which a rank is dropped.
+	// minRecent is the decayed number of recent arrivals below which a rank is no longer
+	// tracked.
 	minRecent = 1e-3
-	// arrivalsDecay is the weight of a window's arrivals relative to the next window's.
+	// arrivalsDecay is the factor by which the weight of past arrivals decreases with each
+	// window.
 	arrivalsDecay = 0.8
 )
 
 // Origin is the kind of sender of a request.
 type Origin int
 
-// Origins. A request from another node has already used processor time there.
+// Origins of requests: a caller, or another node. Refusing a request of another node wastes
+// the processor time that it has already used there.
 const (
 	FromCaller Origin = iota
 	FromNode
 )
 
-// Rank orders requests for shedding: lower priorities are refused first (0 is the
-// highest), and within a priority longer aims. Calls that backend servers make while they
-// run a request have the shortest aims; refusing one wastes the work done for its parent.
+// Rank orders requests for shedding. Requests of a lower priority (a higher number; 0 is
+// the highest priority) are refused first, and within a priority those with a longer aim.
+// Calls that backend servers make while they run a request have the shortest aims; refusing
+// one wastes the work done for the request that it belongs to.
 type Rank struct {
 	Priority int
 	Aim      time.Duration
@@ -49,15 +54,16 @@
 	return cmp.Or(cmp.Compare(r.Priority, other.Priority), cmp.Compare(r.Aim, other.Aim))
 }
 
-// Shedder selects the requests to refuse during an overload. It controls the refused
-// share by feedback, since neither the cost of a request nor the available processor
-// time is known. Callers' requests are refused first, lowest rank first; those of other
-// nodes only if refusing callers' requests is not enough.
+// Shedder selects the requests to refuse during an overload. A proportional-integral
+// controller derives the refused share from the scheduling delay, since neither the cost of
+// a request nor the available processor time is known. Callers' requests are refused first,
+// lowest rank first. Requests of other nodes are refused only if refusing callers' requests
+// is not enough.
 type Shedder struct {
 	Detector
 	lastWindow time.Duration
-	// integral is the integral term of the share of callers' requests to refuse. Its
-	// excess over 1 is the share of other nodes' requests.
+	// integral is the integral term of the share of callers' requests to refuse. If it
+	// exceeds 1, the excess is the share of other nodes' requests to refuse.
 	integral float64
 	origins  [2]originState
 }
@@ -75,13 +81,14 @@
 	// arrivals counts requests in the current window; recentArrivals is the decayed sum
 	// over completed windows.
 	arrivals, recentArrivals float64
-	// share is the share to refuse; pending accumulates it per request, and one request is
-	// refused each time it reaches 1.
+	// share is the share of requests to refuse. It is added to pending for each request;
+	// each time pending reaches 1, one request is refused.
 	share, pending float64
 }
 
-// Observe records a period of the given length in which the process was not scheduled.
-// It reports whether this completed a window.
+// Observe records that the process was not scheduled for the given delay, which ended now.
+// It reports whether this completed an averaging window, after which the refused shares are
+// updated.
 func (s *Shedder) Observe(now, delay time.Duration) bool {
 	if !s.Detector.Observe(now, delay) {
 		return false
@@ -118,7 +125,7 @@
 	}
 }
 
-// Admit reports whether to serve a request.
+// Admit counts a request and reports whether to serve it rather than refuse it.
 func (s *Shedder) Admit(from Origin, rank Rank) bool {
 	r := s.origins[from].stateOf(rank)
 	if r == nil {
@@ -148,5 +155,5 @@
 	return r
 }
 
-// Share returns the share of callers' requests that are refused.
+// Share returns the share of callers' requests to refuse, between 0 and 1.
 func (s *Shedder) Share() float64 { return s.origins[FromCaller].share }
--- a/core/overload/shedder_test.go
+++ b/core/overload/shedder_test.go
@@ -119,8 +119,9 @@
 	}
 }
 
-// TestOtherNodesRequestsAreRefusedLast guards against refusing requests of other nodes, or
-// requests with shorter aims, while others can be refused.
+// TestOtherNodesRequestsAreRefusedLast guards against refusing requests of other nodes
+// while callers' requests can be refused, and requests with shorter aims while requests
+// with longer ones can be refused.
 func TestOtherNodesRequestsAreRefusedLast(t *testing.T) {
 	var s Shedder
 	now := time.Duration(0)
