--- a/core/measure/budget.go
+++ b/core/measure/budget.go
@@ -1,9 +1,9 @@
-// Package measure enforces an institution's budget for load measurement.
+// Package measure limits the rate of load reports to the budget of an institution.
 //
-// Load is measured by reports that the gates of a service send each other. The budget
-// is spent by the gates, where the load is known: each may spend an equal share,
-// whatever the number of callers. The total therefore stays within the budget without
-// coordination.
+// The gates of a service report their load to each other. The budget limits these reports,
+// in number and in bytes per second. It is divided equally among the gates, which know the
+// load, and does not depend on the number of callers. Each gate stays within its share, so
+// the total stays within the budget without coordination.
 package measure
 
 import "time"
@@ -17,10 +17,10 @@
 	bytes uint32
 }
 
-// Budget admits at most the given number of reports and of bytes in any period of one
-// second. It records the reports admitted in the last second, so that no position of
-// the sliding window exceeds the limits; a token bucket would admit its rate plus its
-// burst. It is not safe for concurrent use.
+// Budget is a rate limit: it admits at most a given number of reports and a given number
+// of bytes in any period of one second. It uses a sliding window, which records the reports
+// admitted in the last second. A token bucket would admit its burst in addition to its
+// rate. A Budget is not safe for concurrent use.
 type Budget struct {
 	reports int
 	bytes   int
@@ -30,8 +30,8 @@
 	count         int
 	bytesInWindow int
 
-	// Admitted and Refused are the numbers of admitted and refused reports since the
-	// start.
+	// Admitted and Refused count the reports admitted and refused since the Budget was
+	// created.
 	Admitted, Refused uint64
 	// AdmittedBytes is the total size of the admitted reports.
 	AdmittedBytes uint64
@@ -47,7 +47,7 @@
 	return b
 }
 
-// Set changes the limits. Reports admitted in the last second still count.
+// Set changes the limits. Reports admitted in the last second count towards the new limits.
 func (b *Budget) Set(reports, bytes int) {
 	b.reports = min(reports, maxReports)
 	b.bytes = bytes
--- a/core/measure/budget_test.go
+++ b/core/measure/budget_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestNoSpanOfOneSecondExceedsTheBudget guards against exceeding the budget in any
-// period of one second, wherever it starts and whenever gates send reports.
-// Institutions pay for measuring by the second. A plain token bucket admits its burst
-// on top of its rate.
+// TestNoSpanOfOneSecondExceedsTheBudget guards against exceeding the budget in any period
+// of one second, whenever the period begins and whenever gates send reports. Institutions
+// pay for load reports by the second. A plain token bucket would fail this test, since it
+// admits its burst in addition to its rate.
 func TestNoSpanOfOneSecondExceedsTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reports := rapid.IntRange(0, 40).Draw(t, "reports")
@@ -46,7 +46,7 @@
 }
 
 // TestShrunkBudgetCountsWhatWasSpent guards against exceeding a budget that is reduced
-// while in use: reports sent in the last second count against the new limits.
+// while in use: reports admitted in the last second must count towards the new limits.
 func TestShrunkBudgetCountsWhatWasSpent(t *testing.T) {
 	b := NewBudget(10, 1000)
 	for range 8 {
