--- a/core/mechanism/mechanism.go
+++ b/core/mechanism/mechanism.go
@@ -1,6 +1,6 @@
-// Package mechanism names the parts of the decision logic that can be disabled
-// individually: in a process by its settings, if one of them causes harm, and in the
-// emulator, to determine the benefit of each.
+// Package mechanism names the parts of the decision logic (mechanisms) that can be disabled
+// individually. An operator disables one in the settings of a process if it causes harm;
+// the emulator disables them to determine the benefit of each.
 package mechanism
 
 import (
@@ -22,39 +22,44 @@
 	// Holds lets a gate hold a request back while its server is slow and a sibling is
 	// not.
 	Holds
-	// Hints lets a gate name a sibling for a stuck request, so that its caller's node
-	// sends the request a second time.
+	// Hints lets a gate name a sibling for a request that is stuck on a slow server, so
+	// that the caller's node sends a hedged request (a second copy) to the sibling.
 	Hints
-	// Contention lets a gate leave the last slots unused if high concurrency slows the
-	// server down.
+	// Contention lets a gate run fewer requests at a time than its server has slots if
+	// high concurrency slows the server down.
 	Contention
 	// Ranks orders waiting requests by priority and aim.
 	Ranks
-	// Aims moves waiting requests that miss their aim behind the others.
+	// Aims lets waiting requests that can still meet their aim go before those that
+	// cannot.
 	Aims
-	// KeptSlots reserves slots for short requests.
+	// KeptSlots reserves some slots of a server for short requests.
 	KeptSlots
-	// SiblingsFull tells callers' nodes that no sibling has capacity either.
+	// SiblingsFull lets a gate that refuses a request tell the caller's node that no
+	// sibling has capacity either, so that the node does not try them.
 	SiblingsFull
 	// Outlier moves requests away from a server that fails while its siblings do not.
 	Outlier
-	// PersistentSlowdown distinguishes a persistent slowdown from a momentary one.
+	// PersistentSlowdown distinguishes a persistent slowdown of a server from a momentary
+	// one.
 	PersistentSlowdown
-	// Cold trusts a server's announcement of how long it stays slow after its start.
+	// Cold uses a server's announcement of how long it stays slow after its start.
 	Cold
-	// ReportedSlowdown uses the speed that servers announce; without it the speed is
-	// estimated from completions.
+	// ReportedSlowdown uses the speed that servers announce. Without it, the speed is
+	// estimated from the durations of completed requests.
 	ReportedSlowdown
-	// FairShares serves waiting callers in turn.
+	// FairShares lets the waiting requests of different callers run in turn, so that one
+	// caller cannot occupy a server.
 	FairShares
 	// Near prefers endpoints in the caller's data centre.
 	Near
-	// Silence keeps requests away from hosts that send no sign of life.
+	// Silence keeps requests away from hosts from which nothing is received any more.
 	Silence
-	// AskFirst holds larger bodies back until a gate requests them.
+	// AskFirst sends larger request bodies only once the gate has asked for them.
 	AskFirst
-	// SpeedModel learns whether requests keep the speed of their start; without it
-	// their progress is assumed to follow the speed of their server.
+	// SpeedModel learns whether a running request keeps the speed that its server had when
+	// the request started. Without it, requests are assumed to follow the current speed of
+	// their server.
 	SpeedModel
 	// Shedding refuses a share of requests while the process is short of processor
 	// time.
@@ -81,7 +86,7 @@
 	return list
 }
 
-// All returns the set of all mechanisms.
+// All returns the set that contains every mechanism.
 func All() Set {
 	all := Set(0)
 	for m := range names {
@@ -90,7 +95,7 @@
 	return all
 }
 
-// ErrUnknown is wrapped by the errors of Parse.
+// ErrUnknown is wrapped by the error that Parse returns for an unknown name.
 var ErrUnknown = errors.New("no such mechanism")
 
 // Parse returns the set of the mechanisms with the given names.
--- a/core/mechanism/mechanism_test.go
+++ b/core/mechanism/mechanism_test.go
@@ -6,6 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
+// TestNamesAndSetsAgree guards against a mechanism that cannot be disabled by its name, and
+// against unknown names that are accepted.
 func TestNamesAndSetsAgree(t *testing.T) {
 	all, err := Parse(All().Names())
 	assert.NilError(t, err)
