--- a/core/estate/document.go
+++ b/core/estate/document.go
@@ -3,8 +3,8 @@
 // It also implements the replicated state of the control replicas: documents,
 // records and audit trail.
 //
-// The package does no I/O. State is not safe for concurrent use. Its records are
-// never modified after they were published, so they may be shared.
+// The package does no I/O. State is not safe for concurrent use. Published records
+// are replaced and never modified, so they may be shared.
 package estate
 
 import (
@@ -22,12 +22,13 @@
 // Document is the validated estate text of one institution.
 type Document struct {
 	Institution string
-	// Revision is the number that the operator gives to the text. If it is 0, the
-	// control replicas assign the next revision.
+	// Revision is the number that the operator gives to the text, or 0 if the control
+	// replicas are to assign the next revision.
 	Revision uint64
 	Services map[string]*apiv1.ServiceSpec
 	Routes   map[string]*apiv1.RouteSpec
-	// Limits are the limits on requests of callers, or nil if the text has none.
+	// Limits are the limits on the size and timeouts of callers' requests, or nil if the
+	// text sets none.
 	Limits *apiv1.CallerLimits
 }
 
@@ -46,8 +47,8 @@
 	maxAttempts        = 5
 	maxRetryPercent    = 100
 	maxBudgetPerSecond = 10_000_000
-	// maxRevision leaves enough revisions above the highest that an operator can
-	// give.
+	// maxRevision is the highest revision that an operator can give to a text. It leaves
+	// enough higher ones for later changes.
 	maxRevision = 1 << 53
 
 	// The limits below are exported for adapters that clamp values of other formats.
@@ -64,18 +65,19 @@
 	defaultReportsPerSecond = 5000
 	defaultBytesPerSecond   = 320_000
 	defaultSlowStart        = 2 * time.Second
-	// defaultReportsPerEndpoint and defaultBytesPerEndpoint are what each gate may
-	// send per second if a text states no budget, however many endpoints share the
-	// totals. With the totals alone, each of 108 gates sent a report to five siblings
-	// only every 270 ms, which is half of a slow period. The bytes are slightly more
-	// than half of a node's budget for control traffic, 29 KB per second.
+	// defaultReportsPerEndpoint and defaultBytesPerEndpoint are the load reports and
+	// bytes that each gate may send per second if a text states no budget, however many
+	// endpoints the service has. A default budget for the whole service alone would be
+	// too small for large services: each of 108 gates could report to five siblings only
+	// every 270 ms, which is half of a slow period of a server. The bytes are
+	// slightly more than half of a node's budget for control traffic, 29 KB per second.
 	defaultReportsPerEndpoint = 100
 	defaultBytesPerEndpoint   = 16_000
 	defaultQueuePerSlot       = 2
 )
 
-// terms are the contract terms of an institution. They are copied into each of its
-// services.
+// terms are the contract terms of an institution: its budgets for load reports and
+// retries. They are copied into each of its services.
 type terms struct {
 	measure      *apiv1.MeasureBudget
 	retryPercent uint64
@@ -114,8 +116,8 @@
 
 func (t *terms) read(n jsonc.Node) {
 	n.Object(map[string]func(jsonc.Node){
-		// A budget stated in the text is the total: it does not grow with the number of
-		// endpoints.
+		// A budget stated in the text applies to the whole service: it does not grow with
+		// the number of endpoints.
 		"reportsPerSecond": func(n jsonc.Node) {
 			t.measure.ReportsPerSecond, t.measure.ReportsPerEndpoint = uint32(n.Uint(0, maxBudgetPerSecond)), 0
 		},
@@ -189,7 +191,7 @@
 	return uint32(n.Duration(low, high).Milliseconds())
 }
 
-// NameRemedy is the remedy for a name that ValidName rejects.
+// NameRemedy is the remedy that a problem states for a name that ValidName rejects.
 const NameRemedy = "use 1 to 63 letters, digits, dots, hyphens and underscores"
 
 // ValidName reports whether s is a valid name for a service, an institution or a
@@ -241,8 +243,9 @@
 }
 
 // checkDependencies reports dependencies on services that do not exist, and
-// dependency cycles. In a cycle, a request can reach its own service again and wait
-// for itself until all slots on its path are occupied.
+// dependency cycles. In a cycle, a request can cause a call back to its own service.
+// Such calls can wait for slots that are all occupied by the requests that made them:
+// a deadlock.
 func checkDependencies(doc *Document, serviceNodes map[string]jsonc.Node) {
 	for _, from := range slices.Sorted(maps.Keys(doc.Services)) {
 		for _, to := range doc.Services[from].DependsOn {
@@ -305,8 +308,8 @@
 	return nil
 }
 
-// checkServiceRoutes reports two services with the same host and path prefix, since
-// it would be arbitrary which of them receives a request.
+// checkServiceRoutes reports two services with the same host and path prefix, since it
+// would be undefined which of them receives a request.
 func checkServiceRoutes(doc *Document, serviceNodes map[string]jsonc.Node) {
 	owners := map[string]string{}
 	for _, s := range slices.Sorted(maps.Keys(doc.Services)) {
@@ -320,8 +323,8 @@
 	}
 }
 
-// serviceRoutes returns all combinations of a service's hosts and path prefixes. A
-// service with neither has no routes.
+// serviceRoutes returns all combinations of a service's hosts and path prefixes, each
+// as one string. A service with neither has no routes.
 func serviceRoutes(spec *apiv1.ServiceSpec) []string {
 	var list []string
 	hosts, paths := spec.Hosts, spec.PathPrefixes
--- a/core/estate/estate_test.go
+++ b/core/estate/estate_test.go
@@ -95,8 +95,9 @@
 	return &apiv1.Change{Id: id, Kind: &apiv1.Change_Submit{Submit: &apiv1.SubmitChange{Institution: "a", BaseRevision: base, TextGzip: Gzip([]byte(text))}}}
 }
 
-// Guards against a change that is applied twice: its response is lost and the
-// operator resends it, also after later changes. It gets the first outcome again.
+// Guards against a change that is applied twice because its response is lost and the
+// operator resends it, possibly after later changes. It must get the first outcome
+// again.
 func TestResentChangeGetsFirstOutcome(t *testing.T) {
 	s := NewState()
 	first := s.Apply(1, submitServices("one", 0, "x"))
@@ -108,8 +109,9 @@
 	assert.Equal(t, s.Revision(), uint64(2))
 }
 
-// Two operators submit changes with the same base revision. One is accepted; the
-// other gets a conflict with the newest revision and is not applied.
+// Two operators submit changes with the same base revision. The first must be
+// accepted. The second must not be applied and must get a conflict that states the
+// newest revision.
 func TestEqualBaseRevisionsAcceptOne(t *testing.T) {
 	s := NewState()
 	s.Apply(1, submitServices("one", 0, "x"))
@@ -121,8 +123,8 @@
 	assert.Assert(t, s.Records().Service("z") == nil)
 }
 
-// A change that reuses the id of another with a different text must not be taken
-// for a resend of it.
+// A change with the id of an earlier change but a different text must not be treated
+// as a resent copy of the earlier one.
 func TestReusedIDIsRefused(t *testing.T) {
 	s := NewState()
 	s.Apply(1, submitServices("one", 0, "x"))
@@ -131,8 +133,8 @@
 	assert.Equal(t, s.Revision(), uint64(1))
 }
 
-// A replica restored from a snapshot must decide changes exactly as one that applied
-// every change, including resent and conflicting changes.
+// A replica restored from a snapshot must decide every further change, including resent
+// and conflicting ones, exactly as a replica that applied all changes.
 func TestRestoredReplicaDecidesIdentically(t *testing.T) {
 	a := NewState()
 	a.Apply(1, submitServices("one", 0, "x"))
--- a/core/estate/evacuation_test.go
+++ b/core/estate/evacuation_test.go
@@ -20,8 +20,8 @@
 	return &apiv1.Change{Id: id, Kind: &apiv1.Change_Submit{Submit: &apiv1.SubmitChange{Institution: "a", BaseRevision: base, TextGzip: Gzip([]byte(text))}}}
 }
 
-// Guards against a text that is refused after an evacuation: operators number their
-// texts and do not know the revisions that evacuations take.
+// Guards against refusing a text because an evacuation has taken its revision number:
+// operators number their texts without knowing the revisions that evacuations take.
 func TestEvacuationDoesNotConsumeTextRevision(t *testing.T) {
 	s := NewState()
 	assert.Equal(t, s.Apply(1, submitRevision("one", 5, 0)).Outcome, apiv1.Outcome_OUTCOME_ACCEPTED)
@@ -37,9 +37,9 @@
 }
 
 // Guards against an evacuation that is lost or reappears. After any sequence of
-// evacuations, resends, submissions, drains, snapshots and late receivers, each
-// replica and each node that has caught up has the last evacuation state of every
-// data centre, and revisions never decrease.
+// evacuations, resent changes, submissions, drains, snapshots and deltas to nodes that
+// are behind, each replica and each node that has caught up must have the last
+// evacuation state of every data centre, and revisions must never decrease.
 func TestEvacuationsInAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, node := NewState(), rollout.NewRecords()
--- a/core/estate/routes.go
+++ b/core/estate/routes.go
@@ -14,8 +14,8 @@
 // Limits on the routes and caller limits of a text. Some are exported for adapters
 // that clamp values of other formats.
 const (
-	// maxRoutes prevents one text from exhausting the memory of every node, where a
-	// route takes about 300 bytes.
+	// maxRoutes prevents one text from exhausting the memory of every node. A route
+	// takes about 300 bytes on each node.
 	maxRoutes         = 20_000
 	maxSharesPerRoute = 1000
 	MaxWeight         = 1_000_000
@@ -34,7 +34,8 @@
 	"upload": apiv1.RouteKind_ROUTE_KIND_UPLOAD,
 }
 
-// readRoutes reads the routes into doc and stores the node of each in routeNodes.
+// readRoutes reads the routes into doc and stores the JSON node of each in routeNodes,
+// so that later checks can report its position.
 func readRoutes(n jsonc.Node, doc *Document, routeNodes map[string]jsonc.Node) {
 	members := n.Members()
 	if len(members) > maxRoutes {
--- a/core/estate/routes_test.go
+++ b/core/estate/routes_test.go
@@ -58,8 +58,8 @@
 	return &apiv1.Change{Id: id, Kind: &apiv1.Change_Submit{Submit: &apiv1.SubmitChange{Institution: "site", BaseRevision: base, TextGzip: Gzip([]byte(text)), ContentId: content}}}
 }
 
-// A text whose given revision is not above the current one is refused, even if its
-// base revision is right.
+// A text whose own revision number is not above the current one must be refused, even if
+// its base revision is the current one.
 func TestGivenRevisionMustIncrease(t *testing.T) {
 	s := NewState()
 	assert.Equal(t, s.Apply(1, submitText("a", textWithRoutes(12, ""), 0, false)).Revision, uint64(12))
@@ -68,10 +68,10 @@
 	assert.Equal(t, s.Revision(), uint64(15))
 }
 
-// A change whose id is a digest of its content gets a conflict and is resent later,
-// when its base revision is current. It must be decided again. Once accepted, it must
-// keep that outcome: otherwise an operator whose response was lost would be told that
-// the change was refused.
+// A change whose id is a digest of its content gets a conflict and is resent later, when
+// its base revision is current. It must be decided again. Once it has been accepted, it
+// must keep that outcome: otherwise an operator who resends it because the response was
+// lost would be told that the change was refused.
 func TestContentIDChangeIsReevaluatedUntilAccepted(t *testing.T) {
 	s := NewState()
 	change := submitText("digest", textWithRoutes(9, ""), 5, true)
@@ -85,8 +85,8 @@
 	assert.Equal(t, s.Revision(), uint64(11))
 }
 
-// The source document of a text is returned unchanged, also after a snapshot was
-// restored.
+// The document that an estate text was translated from must be returned unchanged,
+// also after a snapshot was restored.
 func TestSourceSurvivesSnapshot(t *testing.T) {
 	s := NewState()
 	change := submitText("a", textWithRoutes(3, `"r": {"pathPrefix": "/", "kind": "safe", "service": "a"}`), 0, true)
--- a/core/estate/state.go
+++ b/core/estate/state.go
@@ -18,7 +18,8 @@
 
 // maxAuditRecords is the maximum length of the audit trail in memory and in
 // snapshots. At 22,000 changes per day it covers two days. A change that is resent
-// later cannot apply twice, since its base revision is superseded by then.
+// after its record was dropped cannot apply twice, since its base revision has been
+// superseded by then.
 const maxAuditRecords = 50_000
 
 // State is the replicated state machine. All replicas apply the same changes in the
@@ -39,8 +40,8 @@
 	}
 }
 
-// Records returns the compiled records for the rollout. The caller must not modify
-// them.
+// Records returns the compiled records, which are distributed to the nodes. The caller
+// must not modify them.
 func (s *State) Records() *rollout.Records { return s.records }
 
 // Revision returns the newest revision of the records.
@@ -52,11 +53,12 @@
 // Institutions returns the sorted names of the institutions that have a document.
 func (s *State) Institutions() []string { return slices.Sorted(maps.Keys(s.documents)) }
 
-// Outcome returns the audit record of a change, or nil if the change was not
-// decided or its record was dropped.
+// Outcome returns the audit record of the change with the given id, or nil if no such
+// change was decided or its record was dropped.
 func (s *State) Outcome(changeID string) *apiv1.AuditRecord { return s.byID[changeID] }
 
-// Audit returns up to limit audit records with a log index above after.
+// Audit returns the oldest audit records with a log index above after, at most limit
+// of them.
 func (s *State) Audit(after uint64, limit int) []*apiv1.AuditRecord {
 	var out []*apiv1.AuditRecord
 	for _, r := range s.audit {
@@ -67,9 +69,10 @@
 	return out
 }
 
-// Apply decides a change and returns its audit record. A change whose id was
-// already decided gets the first record again, so that a change resent after a lost
-// response is not applied twice.
+// Apply accepts or refuses the change at the given log index, applies it if accepted, and
+// returns its audit record. If a change with the same id was already decided, Apply
+// returns the first record again, so that a change resent after a lost response is not
+// applied twice. A different change with the same id gets the outcome "id reused".
 func (s *State) Apply(index uint64, change *apiv1.Change) *apiv1.AuditRecord {
 	digest := Digest(change)
 	if first := s.byID[change.Id]; first != nil && !s.reevaluates(change, first) {
@@ -93,10 +96,10 @@
 	return record
 }
 
-// reevaluates reports whether a change that was not accepted under its id is
-// decided again. An id that is a digest of the change does not depend on when the
-// change was sent: a text that is refused today may be valid on top of a later
-// revision.
+// reevaluates reports whether a change whose id was already decided is decided again.
+// This is so if it was not accepted and its id is a digest of its content. Such an id
+// is the same each time the text is submitted, and a text that is refused now may be
+// valid on top of a later revision.
 func (s *State) reevaluates(change *apiv1.Change, first *apiv1.AuditRecord) bool {
 	return change.GetSubmit().GetContentId() && first.Outcome != apiv1.Outcome_OUTCOME_ACCEPTED
 }
@@ -124,8 +127,9 @@
 	}
 	// Drains and evacuations also take revisions of the records, which operators who
 	// number their texts do not know of. A given revision is therefore compared with
-	// that of the institution's current document: comparing it with the records'
-	// refused the next number after a drain or an evacuation.
+	// that of the institution's current document. If it were compared with that of the
+	// records, the operator's next number would be refused after a drain or an
+	// evacuation.
 	nextRevision := s.records.Revision() + 1
 	revision := nextRevision
 	if doc.Revision != 0 {
@@ -142,8 +146,8 @@
 	record.Revision = revision
 }
 
-// nameConflicts reports service names that another institution already uses. Nodes
-// route by service name, so a name must identify a single service.
+// nameConflicts returns a problem for each service name that another institution
+// already uses. Nodes route by service name, so a name must identify a single service.
 func (s *State) nameConflicts(doc *Document) []jsonc.Problem {
 	var problems []jsonc.Problem
 	for _, name := range slices.Sorted(maps.Keys(doc.Services)) {
@@ -183,9 +187,9 @@
 	s.records.SetDataCenter(change.DataCenter, change.Evacuated, record.Revision)
 }
 
-// refuse sets the outcome of record to refused with the given problems. Messages of
-// refusals are stored in the replicated audit trail, so every build must produce
-// the same text for the same input.
+// refuse sets the outcome of record to refused with the given problems. Their messages
+// are stored in the replicated audit trail, which must be the same on all replicas, so
+// every build must produce the same messages for the same input.
 func refuse(record *apiv1.AuditRecord, problems ...jsonc.Problem) {
 	record.Outcome = apiv1.Outcome_OUTCOME_REFUSED
 	record.Problems = ProblemsToProto(problems)
@@ -252,7 +256,7 @@
 	return out
 }
 
-// Gzip compresses a text or its source.
+// Gzip compresses an estate text or the document that it was translated from.
 func Gzip(text []byte) []byte {
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
@@ -261,12 +265,12 @@
 	return b.Bytes()
 }
 
-// MaxSourceBytes is the maximum uncompressed size, in bytes, of the document that
-// an estate text was translated from.
+// MaxSourceBytes is the maximum uncompressed size, in bytes, of an estate text and of
+// the document that it was translated from.
 const MaxSourceBytes = 32 << 20
 
-// Gunzip decompresses a text or its source. It returns an error if the result
-// exceeds MaxSourceBytes.
+// Gunzip decompresses an estate text or the document that it was translated from. It
+// returns an error if the result exceeds MaxSourceBytes.
 func Gunzip(compressed []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
