--- a/core/rollout/records.go
+++ b/core/rollout/records.go
@@ -1,11 +1,11 @@
-// Package rollout stores the compiled estate as one record per service, route,
-// host, data centre and institution's limits. Each record carries the revision
-// that last changed it, in ChangedAt. A receiver at revision R lacks exactly the
-// records with ChangedAt above R, so no history of deltas is kept and a receiver
-// may be any number of revisions behind.
+// Package rollout stores the compiled estate and computes the deltas that distribute it.
+// It keeps one record for each service, route, host and data centre, and one for the
+// limits of each institution. A record's ChangedAt is the revision that last changed
+// it. A receiver at revision R lacks exactly the records with ChangedAt above R, so no
+// history of deltas is kept and a receiver may be any number of revisions behind.
 //
-// A record is never modified after it was published. The type Records is not
-// safe for concurrent use.
+// A published record is replaced and never modified. The type Records is not safe for
+// concurrent use.
 package rollout
 
 import (
@@ -73,8 +73,8 @@
 // Hosts returns all host records, sorted by name.
 func (r *Records) Hosts() []*apiv1.HostRecord { return sortedByKey(r.hosts) }
 
-// Replace sets the contents of an institution as of revision. Records whose spec
-// is unchanged keep their ChangedAt, so they are not sent again.
+// Replace replaces the services, routes and limits of an institution at the given
+// revision. Unchanged records keep their ChangedAt, so they are not sent again.
 func (r *Records) Replace(institution string, contents Contents, revision uint64) {
 	r.replaceServices(institution, contents.Services, revision)
 	r.replaceRoutes(institution, contents.Routes, revision)
@@ -154,13 +154,15 @@
 	return a
 }
 
-// SetHost records the start or end of a planned stop of a host as of revision.
+// SetHost records at the given revision that a planned stop of a host begins (draining)
+// or ends.
 func (r *Records) SetHost(host string, draining bool, revision uint64) {
 	r.hosts[host] = &apiv1.HostRecord{Host: host, ChangedAt: revision, Draining: draining}
 	r.revision = revision
 }
 
-// SetDataCenter records the start or end of an evacuation as of revision.
+// SetDataCenter records at the given revision that the evacuation of a data centre
+// begins (evacuated) or ends.
 func (r *Records) SetDataCenter(dataCenter string, evacuated bool, revision uint64) {
 	r.dataCenters[dataCenter] = &apiv1.DataCenterRecord{DataCenter: dataCenter, ChangedAt: revision, Evacuated: evacuated}
 	r.revision = revision
@@ -173,16 +175,16 @@
 	return delta
 }
 
-// DeltaFor returns the delta for a node at revision since. Changed services that
-// are in needed come in full, and other changed services with their hosts and
-// path prefixes only. Services in added, those of needed that the node did not
-// need before, come in full whatever their ChangedAt. Of the host records, only
-// that of host is included.
+// DeltaFor returns the delta for a node on the given host at revision since. needed
+// lists the services that the node needs in full; of other changed services, the delta
+// contains only the hosts and path prefixes. added lists the needed services that the
+// node did not need before; the delta contains them in full even if they have not
+// changed. Of the host records, it contains only that of the node's own host.
 func (r *Records) DeltaFor(since uint64, needed, added []string, host string) *apiv1.EstateDelta {
 	delta := &apiv1.EstateDelta{Since: since, Revision: r.revision, Complete: since == 0}
 	if since >= r.revision && len(added) == 0 {
-		// Nothing changed, as with most heartbeats. Scanning all services would be
-		// most of the cost of a heartbeat.
+		// Nothing has changed, as is the case for most heartbeats. Scanning all services
+		// would be most of the cost of a heartbeat.
 		return delta
 	}
 	want := map[string]bool{}
@@ -211,8 +213,9 @@
 	return delta
 }
 
-// addCommon adds the changed records that every node needs: all routes, since a
-// request for any route may reach any node, limits, and evacuations.
+// addCommon adds the records that every node needs, as far as they changed after
+// revision since: limits, evacuations, and all routes, since a request for any route may
+// reach any node.
 func (r *Records) addCommon(since uint64, delta *apiv1.EstateDelta) {
 	delta.Routes, delta.Limits, delta.DataCenters = changedSince(r.routes, since), changedSince(r.limits, since), changedSince(r.dataCenters, since)
 }
@@ -224,7 +227,7 @@
 	return &apiv1.ServiceRecord{Name: s.Name, Institution: s.Institution, ChangedAt: s.ChangedAt, Spec: spec, Partial: true}
 }
 
-// addAll adds all changed records to delta.
+// addAll adds all records that changed after revision since.
 func (r *Records) addAll(since uint64, delta *apiv1.EstateDelta) {
 	delta.Services, delta.Hosts = changedSince(r.services, since), changedSince(r.hosts, since)
 	r.addCommon(since, delta)
@@ -234,7 +237,7 @@
 //
 // A delta whose Revision is below the current revision is ignored, since it would
 // revert the receiver to a superseded configuration. A delta whose Since is above
-// the current revision is ignored, since the records in between would be missing.
+// the current revision is ignored, since the changes between the two would be missing.
 // Each record is also compared by its ChangedAt, so that a delayed delta of the
 // same revision cannot restore an older record.
 func (r *Records) Apply(delta *apiv1.EstateDelta) bool {
@@ -270,7 +273,7 @@
 	return changed
 }
 
-// supersedes reports whether s is newer than current, or is the full record where
+// supersedes reports whether s replaces current: s is newer, or it is the full record and
 // current is a partial one with the same ChangedAt.
 func supersedes(s, current *apiv1.ServiceRecord) bool {
 	if current == nil || current.ChangedAt < s.ChangedAt {
--- a/core/rollout/records_test.go
+++ b/core/rollout/records_test.go
@@ -14,9 +14,9 @@
 	return &apiv1.ServiceSpec{Slots: slots, Hosts: []string{"h"}}
 }
 
-// Guards against a node that reverts to an older configuration. The node receives
-// deltas of relays that are behind or ahead of it, in any order, repeated or
-// delayed; neither its revision nor the record of any service may get older.
+// Guards against a node that reverts to an older configuration. The node receives deltas
+// from relays that are behind or ahead of it, in any order, repeated or delayed. Neither
+// its revision nor the ChangedAt of any service record may decrease.
 func TestNodeNeverMovesBackToOlderRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source := NewRecords()
@@ -57,8 +57,8 @@
 	})
 }
 
-// A node that missed any number of changes gets a single delta, after which it has
-// the same records as a node that applied every change.
+// A node that missed any number of changes must have the same records after a single
+// delta as a node that applied every change.
 func TestOneDeltaReplacesAllMissedDeltas(t *testing.T) {
 	source, follower, late := NewRecords(), NewRecords(), NewRecords()
 	for rev := uint64(1); rev <= 500; rev++ {
@@ -70,8 +70,9 @@
 	assert.DeepEqual(t, follower.Snapshot().String(), source.Snapshot().String())
 }
 
-// A node starts to need a service that last changed before the node's revision. It
-// must get the full record although its ChangedAt is not above that revision.
+// A node needs a service that it did not need before and that last changed before the
+// node's revision. The delta must contain the full record although its ChangedAt is not
+// above that revision.
 func TestNewlyNeededServiceIsSentInFull(t *testing.T) {
 	source, node := NewRecords(), NewRecords()
 	source.Replace("a", Contents{Services: map[string]*apiv1.ServiceSpec{"x": spec(5), "y": spec(6)}}, 1)
@@ -82,8 +83,8 @@
 	assert.Equal(t, node.Service("y").Spec.Slots, uint32(6))
 }
 
-// A node gets the full record of a newly needed service, and then a late response
-// to an earlier request, of the same revision and with a partial record. The
+// A node gets the full record of a newly needed service. Then it gets the delayed response
+// to an earlier request, with a partial record of the same service and revision. The
 // partial record must not replace the full one.
 func TestLatePartialRecordDoesNotReplaceFullRecord(t *testing.T) {
 	source, node := NewRecords(), NewRecords()
--- a/core/rollout/routes_test.go
+++ b/core/rollout/routes_test.go
@@ -10,8 +10,8 @@
 
 func route(prefix string) *apiv1.RouteSpec { return &apiv1.RouteSpec{PathPrefix: prefix} }
 
-// A receiver gets the routes that changed after its revision, including removed
-// ones, and ignores an older delta.
+// A delta must contain the routes that changed after the receiver's revision, including
+// removed ones. The receiver must ignore an older delta.
 func TestDeltaContainsChangedRoutes(t *testing.T) {
 	source, node := NewRecords(), NewRecords()
 	source.Replace("a", Contents{Routes: map[string]*apiv1.RouteSpec{"x": route("/x"), "y": route("/y")}, Limits: &apiv1.CallerLimits{MaxHeaderBytes: 100}}, 1)
@@ -29,7 +29,8 @@
 	assert.Equal(t, node.Routes()[1].Name, "z")
 }
 
-// Two institutions may have routes of the same name.
+// Two institutions may have routes of the same name. The routes of one must not replace
+// those of the other.
 func TestInstitutionsMayShareRouteNames(t *testing.T) {
 	r := NewRecords()
 	r.Replace("a", Contents{Routes: map[string]*apiv1.RouteSpec{"x": route("/a")}, Limits: &apiv1.CallerLimits{MaxBodyBytes: 10}}, 1)
