--- a/core/jsonc/jsonc.go
+++ b/core/jsonc/jsonc.go
@@ -1,6 +1,7 @@
-// Package jsonc decodes JSON with comments strictly and reports all errors of a
-// text together, each with its line, column, field and remedy. The estate text
-// and the process settings share it, so that their errors have the same form.
+// Package jsonc decodes JSON with comments strictly: unknown, duplicate and missing fields
+// are errors. It reports all errors of a text together, each with its line, column, field
+// and remedy. It decodes both the estate text and the process settings, so that errors in
+// either have the same form.
 package jsonc
 
 import (
@@ -24,14 +25,15 @@
 	// without a limit, a text of opening brackets overflows the stack and
 	// terminates the process.
 	maxDepth = 32
-	// MaxProblems is the maximum number of problems reported for a text; the
-	// rest are omitted.
+	// MaxProblems is the maximum number of problems reported for a text. Further
+	// problems are not reported.
 	MaxProblems = 50
 )
 
-// Problem is one error in a text. Line and Column start at 1; Column counts
-// bytes. Messages and remedies of refusals are stored in the replicated audit
-// trail, so every build must produce the same text for the same input.
+// Problem is one error in a text. Line and Column start at 1; Column counts bytes. Field
+// is the path of the field, and Remedy says how to correct the error. The problems of a
+// refused estate text are stored in the replicated audit trail, so every build must
+// produce the same Message and Remedy for the same input.
 type Problem struct {
 	Line, Column int
 	Field        string
@@ -54,15 +56,16 @@
 	problems []Problem
 }
 
-// Node is a value of the text and its field path.
+// Node is a value in the text with its field path. The root node of an invalid text has no
+// value; its decoding methods return a default and report no further problem.
 type Node struct {
 	reader *Reader
 	value  *hujson.Value
 	path   string
 }
 
-// Parse parses text and returns its root node. If Reader.Problems is not empty,
-// the node has no value.
+// Parse parses text and returns its root node. The reader collects the problems found now
+// and while the nodes are decoded. If it has problems after Parse, the node has no value.
 func Parse(text []byte) (*Reader, Node) {
 	r := &Reader{text: text}
 	if !r.checkLimits() {
@@ -224,8 +227,8 @@
 	Value Node
 }
 
-// Members returns the members of an object in the order of the text. It reports
-// duplicate names and omits all but the first.
+// Members returns the members of an object in the order of the text. It reports members
+// with duplicate names and returns only the first of them.
 func (n Node) Members() []Member {
 	if n.value == nil {
 		return nil
@@ -255,7 +258,8 @@
 	return members
 }
 
-// literalOf returns v as a literal, or an empty literal if it is not one.
+// literalOf returns v as a literal (a string, number, boolean or null), or an empty
+// literal if v is an object or an array.
 func literalOf(v hujson.Value) hujson.Literal {
 	l, _ := v.Value.(hujson.Literal)
 	return l
@@ -284,7 +288,8 @@
 	}
 }
 
-// Elements returns the elements of an array.
+// Elements returns the elements of an array. Like the other decoding methods below, it
+// reports a problem if the value has another type.
 func (n Node) Elements() []Node {
 	if n.value == nil {
 		return nil
