--- a/core/directory/detect.go
+++ b/core/directory/detect.go
@@ -10,14 +10,14 @@
 	apiv1 "cactuspath/api/cactuspath/v1"
 )
 
-// Probe asks the caller to check a silent node, directly or, if Via is set,
-// indirectly through another node.
+// Probe asks the caller of Tick to check whether a silent node is reachable: directly or,
+// if Via is set, indirectly through the node with that address.
 type Probe struct {
 	Host, PeerAddress string
 	Via               string
 }
 
-// Work is the network work that a tick asks the caller to do.
+// Work lists the requests that the caller of Tick must send.
 type Work struct {
 	Probes []Probe
 	Pulls  []Pull
@@ -47,9 +47,9 @@
 // Tick advances failure detection and returns the requests to send.
 func (r *Relay) Tick(now time.Duration) Work {
 	if gap := now - r.lastTick; gap > stallThreshold {
-		// This process was suspended or starved of CPU by another process. The
-		// gap must not count as silence of the nodes, or the relay would mark a
-		// whole data centre failed when it resumes.
+		// This process was suspended, or other processes left it no CPU time. The gap
+		// must not count as silence of the nodes, or the relay would mark a whole data
+		// centre failed when it resumes.
 		r.compensateStall(gap)
 	}
 	r.lastTick = now
@@ -61,6 +61,8 @@
 	return work
 }
 
+// compensateStall moves all times of last contact forward by a gap in which this process
+// did not run.
 func (r *Relay) compensateStall(gap time.Duration) {
 	r.lastContact += gap
 	for _, w := range r.watched {
@@ -71,9 +73,9 @@
 	}
 }
 
-// takeOver starts to monitor nodes whose relay has failed. The live relays choose
-// which one does so by rendezvous hashing; a node that has found another relay
-// names it in its entry.
+// takeOver begins to monitor nodes of this data centre whose relay has failed. Rendezvous
+// hashing selects one live relay for each such node. Nodes that have found another relay
+// by themselves are not taken over: their entries name a live relay.
 func (r *Relay) takeOver(now time.Duration) {
 	live := r.liveLocalRelays(now)
 	for host := range r.localHosts {
@@ -87,9 +89,9 @@
 	}
 }
 
-// detectFailures probes silent nodes and marks failed those that no probe reached.
-// It marks none while this relay hears from nobody: the relay itself is then
-// probably partitioned, and others can judge better.
+// detectFailures probes silent nodes, and marks those failed that no probe has reached
+// within confirmAfter. It marks none while this relay receives nothing from any host: then
+// the relay itself is probably partitioned, and the other relays can detect failures.
 func (r *Relay) detectFailures(now time.Duration, work *Work) {
 	for _, host := range slices.Sorted(maps.Keys(r.watched)) {
 		w := r.watched[host]
@@ -121,9 +123,9 @@
 	}
 }
 
-// helper returns the address of a node of this data centre with recent contact, for
-// an indirect probe: a broken link between the relay and one node is not a failure
-// of that node. It returns "" if there is none.
+// helper returns the address of a node of this data centre with recent contact, through
+// which to probe a suspected node indirectly: if only the link between the relay and the
+// suspected node is broken, the node has not failed. It returns "" if there is no helper.
 func (r *Relay) helper(suspect string) string {
 	var names []string
 	for host, w := range r.watched {
@@ -138,7 +140,8 @@
 	return r.table.Get(best).GetPeerAddress()
 }
 
-// HandleProbeResult processes the result of a probe.
+// HandleProbeResult processes the result of a probe. ok reports whether the node replied,
+// and incarnation identifies the run of the node's process that did.
 func (r *Relay) HandleProbeResult(now time.Duration, host string, incarnation uint64, ok bool) {
 	e := r.table.Get(host)
 	if !ok || e == nil || r.watched[host] == nil {
@@ -150,7 +153,7 @@
 	}
 }
 
-// markFailed marks a node failed.
+// markFailed marks the entry of a node failed and no longer monitors the node.
 func (r *Relay) markFailed(now time.Duration, host string) {
 	e := r.table.Get(host)
 	if e == nil || IsTombstone(e) {
--- a/core/directory/directory_test.go
+++ b/core/directory/directory_test.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// A relay is partitioned for an hour, during which a node fails and is marked
-// failed on the other side. When the partition heals, the relay's stale table must
-// not bring the failed entry back.
+// A relay is partitioned from the others for an hour, during which a node fails and the
+// other relays mark it failed. When the partition heals, the relay's stale entry of the
+// node must not replace the failed one.
 func TestFailedEntryDoesNotReturnAfterPartition(t *testing.T) {
 	s := newSimulation(t)
 	s.addDataCenter("a", 12, 3)
@@ -72,8 +72,9 @@
 	}
 }
 
-// A relay is paused for a minute. When it resumes, all its nodes appear silent to
-// it; marking them failed would take a data centre out of service.
+// A relay is paused for a minute. When it resumes, it has received nothing from any node
+// for a minute. It must not mark them failed, which would take a whole data centre out
+// of service.
 func TestPausedRelayMarksNoNodeFailed(t *testing.T) {
 	s := newSimulation(t)
 	s.addDataCenter("a", 20, 1)
@@ -86,9 +87,9 @@
 	assert.Equal(t, s.countEntries("a-0", "a", serving), 20)
 }
 
-// A relay resumes after a minute and first receives one node's heartbeat, so that
-// it does not count as isolated. The other nodes have had no time to report yet and
-// must not be marked failed for the time that the relay itself was paused.
+// A relay resumes after a pause of a minute and first receives one node's heartbeat, so
+// that it does not consider itself isolated. The other nodes have had no time to send a
+// heartbeat since, and the pause must not count as their silence.
 func TestWakingRelayWaitsForItsNodes(t *testing.T) {
 	r := NewRelay(&apiv1.RelayInfo{Host: "r", DataCenter: "x"}, 1, 0)
 	for i := range 3 {
@@ -104,9 +105,9 @@
 	assert.Equal(t, r.Failures, uint64(0))
 }
 
-// A relay must send relays of other data centres only the entries of its own data
-// centre: it has the others second-hand, and an entry that has failed since could
-// return that way.
+// A relay must send relays of other data centres only the entries of its own data centre.
+// It received the other entries from other relays and they may be stale, so that an entry
+// that has been marked failed since could return as serving.
 func TestRelayPassesOnOnlyItsOwnDataCenter(t *testing.T) {
 	s := newSimulation(t)
 	s.addDataCenter("a", 5, 1)
@@ -122,8 +123,9 @@
 	}
 }
 
-// A running relay loses its own network and hears from nobody. It cannot tell which
-// nodes have failed, so it must not mark any and leave that to the other relays.
+// A running relay loses its own network connection and receives nothing from any host. It
+// cannot tell which nodes have failed, so it must not mark any; the other relays detect
+// failures.
 func TestIsolatedRelayMarksNoNodeFailed(t *testing.T) {
 	s := newSimulation(t)
 	s.addDataCenter("a", 20, 2)
@@ -136,8 +138,8 @@
 	assert.Equal(t, s.countEntries("a-1", "a", serving), 20)
 }
 
-// Only the link between a relay and one of its nodes breaks. An indirect probe
-// through another node reaches the node, so it must not be marked failed.
+// Only the link between a relay and one of its nodes is broken. An indirect probe through
+// another node reaches that node, so the relay must not mark it failed.
 func TestCutBetweenRelayAndOneNodeIsNoFailure(t *testing.T) {
 	s := newSimulation(t)
 	s.addDataCenter("a", 10, 1)
@@ -166,9 +168,10 @@
 	}
 }
 
-// A node restarts on a host whose clock was set back by an hour. Its incarnation is
-// lower than that of its previous run, which would hide the new entry. The relay
-// returns the entry it holds, so that the node can choose a higher incarnation.
+// A node restarts on a host whose clock was set back by an hour. The node's incarnation is
+// taken from the clock and is lower than before the restart, so its new entry would be
+// ignored as older. The relay must return the entry that it holds, so that the node can
+// choose a higher incarnation.
 func TestClockSetBackIsReportedToNode(t *testing.T) {
 	s := newSimulation(t)
 	s.addDataCenter("a", 3, 1)
@@ -178,8 +181,8 @@
 }
 
 // A region is partitioned for ten minutes while entries change on both sides. After
-// the partition heals, each side must receive the other's latest entries at the
-// cost of only the changes.
+// the partition heals, each side must receive the other's latest entries, and the bytes sent
+// must be in proportion to the changes rather than to all entries.
 func TestReconcileAfterTenMinutePartition(t *testing.T) {
 	s := newSimulation(t)
 	s.addDataCenter("a", 200, 3)
@@ -199,9 +202,9 @@
 	assert.Assert(t, s.exchangedBytes < 40_000, "%d bytes to reconcile", s.exchangedBytes)
 }
 
-// A relay restarts with an empty table. Until it has received entries from the
-// others it must not be ready, or it would report services as having no endpoints.
-func TestRestartedRelayIsNotReadyBeforeItKnows(t *testing.T) {
+// A relay restarts with an empty table. Until it has received entries from the other
+// relays it must not be ready, or it would report services as having no endpoints.
+func TestRestartedRelayIsNotReadyBeforeItHasEntries(t *testing.T) {
 	s := newSimulation(t)
 	s.addDataCenter("a", 10, 2)
 	s.addDataCenter("b", 10, 2)
@@ -213,9 +216,10 @@
 	assert.Equal(t, s.countEntries("a-1", "b", serving), 10)
 }
 
-// A relay restarts with an empty table and reaches the other data centres, but not
-// yet its sibling, the only relay with the entries of their own data centre. It must
-// not be ready: it would report services there as having no endpoints.
+// A relay restarts with an empty table and receives entries from the other data centres,
+// but not yet from its sibling, the only relay with the entries of its own data centre. It
+// must not be ready: it would report the services of its data centre as having no
+// endpoints.
 func TestRestartedRelayIsNotReadyBeforeItsSiblingAnswers(t *testing.T) {
 	s := newSimulation(t)
 	s.addDataCenter("a", 10, 2)
@@ -240,8 +244,8 @@
 	assert.Assert(t, some < full/5, "%d of %d", some, full)
 }
 
-// reconcileBytes returns the size of an answer to a relay that lacks differ of n
-// entries and whose cursor is of another epoch.
+// reconcileBytes returns the size of the response to a relay that lacks differ of n entries
+// and cannot continue from its cursor, since the cursor is of another epoch.
 func reconcileBytes(t testing.TB, n, differ int) int {
 	t.Helper()
 	a := NewRelay(&apiv1.RelayInfo{Host: "a", DataCenter: "x"}, 2, 0)
@@ -287,8 +291,9 @@
 	assert.Equal(t, len(view.ByService()["s"]), 400)
 }
 
-// 400 nodes start and then one fails. The failure is the most important change for
-// callers, so it must be sent out of order in the first answer.
+// 400 nodes start and then one of them fails. Until callers' nodes know of the failure,
+// they send requests to the failed node, so this change must be in the first answer, ahead
+// of older changes.
 func TestUrgentChangesComeFirst(t *testing.T) {
 	r := NewRelay(&apiv1.RelayInfo{Host: "a", DataCenter: "x"}, 1, 0)
 	_, cursor, _ := r.Entries(nil, []string{"s"}, true)
@@ -305,9 +310,10 @@
 	assert.Equal(t, entries[maxEntriesPerAnswer].State, failed)
 }
 
-// A node requests a service while its relay is not ready and gets no entries. If
-// the service counted as answered, the next request would return only changes since
-// the cursor, and the node would never learn of the endpoints that existed before.
+// A node requests the entries of a service while its relay is not ready, and gets none. The
+// view must not consider the service covered: otherwise the next answer would contain only
+// changes since the cursor, and the node would never learn of the endpoints that existed
+// before.
 func TestServiceNotAnsweredIsAskedForAgain(t *testing.T) {
 	r := NewRelay(&apiv1.RelayInfo{Host: "a", DataCenter: "x"}, 1, 0)
 	r.merge(0, sampleEntry(1))
@@ -334,8 +340,8 @@
 	assert.Assert(t, s.relays["a-0"].Ready(s.now))
 }
 
-// Tables that receive the same set of entries must end with the same contents and
-// digests, whatever the order, delay and duplication of the entries.
+// Tables that merge the same set of entries must have the same contents and digests,
+// whatever the order and duplication of the entries.
 func TestMergeIsOrderIndependent(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
--- a/core/directory/exchange.go
+++ b/core/directory/exchange.go
@@ -14,9 +14,9 @@
 	Request *apiv1.ExchangeRequest
 }
 
-// Exchange answers another relay's exchange request. A relay of this data centre
-// gets all entries; one of another data centre gets only the entries of this data
-// centre, the only ones for which this relay is authoritative.
+// Exchange returns the response to another relay's request for changed entries. A relay of
+// this data centre gets the changes of all entries. A relay of another data centre gets
+// only those of this data centre, for which this relay is authoritative.
 func (r *Relay) Exchange(now time.Duration, req *apiv1.ExchangeRequest) *apiv1.ExchangeResponse {
 	r.lastContact = now
 	if p := r.peers[req.FromHost]; p != nil {
@@ -33,8 +33,10 @@
 	return resp
 }
 
-// reconcile sends the full contents of the buckets whose digests differ. After a
-// partition or a restart most buckets match, and a matching one costs 8 bytes.
+// reconcile adds the full contents of the digest buckets that differ between the two
+// relays. It is used if the requesting relay cannot continue from its cursor. After a
+// partition or a restart most buckets match, and a matching one costs only the 8 bytes of
+// its digest.
 func (r *Relay) reconcile(req *apiv1.ExchangeRequest, visible func(*apiv1.Entry) bool, resp *apiv1.ExchangeResponse) {
 	differs := make([]bool, BucketCount)
 	own := r.table.Digests(digestScope(req.FromDataCenter, r.self.DataCenter))
@@ -52,8 +54,8 @@
 	sort.Slice(resp.Entries, func(i, j int) bool { return resp.Entries[i].Host < resp.Entries[j].Host })
 }
 
-// digestScope returns the data centre whose entries two relays compare: all of them
-// within a data centre, otherwise that of the answering relay.
+// digestScope returns the data centre whose entries two relays compare by digests: all
+// data centres if both relays are in the same one, otherwise that of the answering relay.
 func digestScope(asking, answering string) string {
 	if asking == answering {
 		return AllDataCenters
@@ -61,8 +63,8 @@
 	return answering
 }
 
-// HandleExchangeResponse processes a relay's answer to a Pull. A nil answer means
-// that none came.
+// HandleExchangeResponse processes a relay's response to a Pull. It is nil if the relay did
+// not respond.
 func (r *Relay) HandleExchangeResponse(now time.Duration, host string, resp *apiv1.ExchangeResponse) {
 	p := r.peers[host]
 	if p == nil || resp == nil {
@@ -79,8 +81,9 @@
 	}
 }
 
-// planPulls adds pulls from some siblings, and from one relay of each other data
-// centre that this relay pulls from.
+// planPulls adds the pulls that are due: from some siblings (other relays of this data
+// centre), and from one relay of each other data centre for which this relay is the one
+// that pulls.
 func (r *Relay) planPulls(now time.Duration, work *Work) {
 	interval := pullInterval
 	if !r.Ready(now) {
@@ -101,8 +104,8 @@
 	sort.Slice(work.Pulls, func(i, j int) bool { return work.Pulls[i].Relay.Host < work.Pulls[j].Relay.Host })
 }
 
-// siblingsToPull returns the siblings to pull from now: the next ones in turn and
-// all that have never answered.
+// siblingsToPull returns the siblings to pull from now: the next ones in round-robin order
+// and all that have never responded.
 func (r *Relay) siblingsToPull() []string {
 	var siblings, due []string
 	for host, p := range r.peers {
@@ -124,8 +127,8 @@
 	return due
 }
 
-// selectRemoteRelay selects the relay of another data centre to pull from: the first
-// live one in rendezvous order or, if none is live, each in turn.
+// selectRemoteRelay returns the relay of another data centre to pull from: the first live
+// one in rendezvous order or, if none is known to be live, each of them in turn.
 func (r *Relay) selectRemoteRelay(now time.Duration, center string, hosts []string) string {
 	order := Rendezvous(r.self.DataCenter+"/"+center, hosts)
 	for _, host := range order {
@@ -136,12 +139,13 @@
 	return order[int(now/HeartbeatInterval)%len(order)]
 }
 
-// TriggerPull makes the next tick pull from other relays, for relays that have just
-// appeared.
+// TriggerPull makes the next Tick pull from other relays without waiting for pullInterval.
+// It is used when new relays have appeared.
 func (r *Relay) TriggerPull() { r.lastPull -= pullInterval }
 
-// NextPull returns the next pull from a relay whose last answer contained changes;
-// ok is false if the relay is no longer a peer.
+// NextPull returns another pull from the given relay, to be sent at once because its last
+// response contained changes and there may be more. ok is false if the relay is no longer
+// in the list of relays.
 func (r *Relay) NextPull(host string) (p Pull, ok bool) {
 	target := r.peers[host]
 	if target == nil {
@@ -159,8 +163,8 @@
 }
 
 // mayHaveRestarted reports whether a peer was silent for so long that it may have
-// restarted with a new epoch. Its epoch is unknown until it answers, so digests
-// are then sent with the request.
+// restarted with a new epoch. Digests are then sent with the request, since the peer needs
+// them if its epoch has changed.
 func (r *Relay) mayHaveRestarted(p *peer) bool { return r.lastTick-p.lastHeard > relayTimeout }
 
 // remoteRelays returns the relays of every other data centre, by data centre.
--- a/core/directory/relay.go
+++ b/core/directory/relay.go
@@ -18,8 +18,8 @@
 	// confirmAfter is the time without contact after which a node is marked
 	// failed if every probe has failed.
 	confirmAfter = 6 * HeartbeatInterval
-	// takeoverAfter is how long a node whose relay has failed may stay without
-	// contact before the relay that took it over suspects it.
+	// takeoverAfter is how long a relay that has taken over a node from a failed relay
+	// waits for contact with the node before it suspects the node.
 	takeoverAfter = 6 * HeartbeatInterval
 	// stallThreshold is the gap between ticks above which this relay itself is
 	// considered to have been suspended.
@@ -31,23 +31,25 @@
 	// relayTimeout is the time without contact after which a relay counts as
 	// failed although the control replicas still list it.
 	relayTimeout = 15 * HeartbeatInterval
-	// maxReadyWait is the longest time that a new relay waits for the others
-	// before it becomes ready.
+	// maxReadyWait is the longest time that a relay that has just started waits for
+	// entries from the other relays before it becomes ready.
 	maxReadyWait = 5 * HeartbeatInterval
 	// StartupInterval is the interval of ticks and pulls until the relay is ready.
 	StartupInterval = HeartbeatInterval / 10
-	// minReadyWait is the shortest time before a relay assumes that its list of
-	// relays is complete: others may start at the same moment.
+	// minReadyWait is the shortest time before a relay assumes that its list of relays
+	// is complete. Other relays may have been started at the same moment and may not be
+	// listed yet.
 	minReadyWait = 3 * StartupInterval
 	// siblingPullsPerRound is the number of siblings (other relays of the same
 	// data centre) that a relay pulls from per round, in round-robin order. Changes
 	// reach all siblings within a few rounds; pulling from all of them in every
 	// round would cost more than the nodes' heartbeats.
 	siblingPullsPerRound = 2
-	// maxEntriesPerAnswer limits the changes in one answer, about 20 KB. After the
-	// loss of a data centre the rest follows with the next heartbeats, so that no
-	// node exceeds its bandwidth limit; the oldest changes are sent first. Up to
-	// maxUrgentEntries entries that stop traffic to a host are sent out of order.
+	// maxEntriesPerAnswer limits the changed entries in one answer, to about 20 KB. If
+	// more have changed, as after the loss of a data centre, the oldest changes are sent
+	// first and the rest in answers to the next heartbeats, so that no node exceeds its
+	// bandwidth limit. In addition, up to maxUrgentEntries entries that stop traffic to a
+	// host are sent ahead of older changes.
 	maxEntriesPerAnswer = 150
 	maxUrgentEntries    = 50
 	// pullInterval is the interval between rounds of pulls from other relays.
@@ -73,7 +75,8 @@
 	table   *Table
 	watched map[string]*watchedNode
 	peers   map[string]*peer
-	// cursors are those of relays that left the list, kept in case they return.
+	// cursors holds the cursors of relays that are no longer listed, in case they are
+	// listed again.
 	cursors    map[string]*apiv1.Cursor
 	tombstones map[string]time.Duration
 	// localHosts are the hosts of this data centre. They are indexed so that
@@ -94,8 +97,9 @@
 	Failures uint64
 }
 
-// NewRelay returns a relay without entries. Epoch must differ from that of every
-// earlier relay on this host: cursors of another epoch are not continued.
+// NewRelay returns a relay without entries. epoch must differ from that of every earlier
+// relay on this host: it tells readers that their cursors are positions in the changes of
+// an earlier relay and are no longer valid.
 func NewRelay(self *apiv1.RelayInfo, epoch uint64, now time.Duration) *Relay {
 	return &Relay{self: self, epoch: epoch, table: NewTable(), watched: map[string]*watchedNode{}, peers: map[string]*peer{}, cursors: map[string]*apiv1.Cursor{}, localHosts: map[string]bool{},
 		tombstones: map[string]time.Duration{}, started: now, lastTick: now, lastPull: now - pullInterval, lastContact: now}
@@ -133,10 +137,10 @@
 	}
 }
 
-// Ready reports whether the relay has received entries from its siblings and from
-// the data centres that it pulls from, or has waited for maxReadyWait. Until then
-// it must not answer nodes: it would report services as having no endpoints when
-// it has merely not received them yet.
+// Ready reports whether the relay has received the entries of its siblings and of the data
+// centres that it pulls from, or has waited for maxReadyWait. Until then it must not answer
+// requests of nodes: it would report services as having no endpoints although it has only
+// not received their entries yet. A relay that was ready once stays ready.
 func (r *Relay) Ready(now time.Duration) bool {
 	r.ready = r.ready || now-r.started >= maxReadyWait || now-r.started >= minReadyWait && r.allAnswered(now)
 	return r.ready
@@ -180,8 +184,9 @@
 	return list
 }
 
-// Heartbeat processes a node's report. It returns the relay's current entry of the
-// node, or nil, and whether the relay needs a newer one.
+// Heartbeat processes a node's report, which may be sent with the node's current entry. It
+// returns the entry that the relay holds of the node, or nil. needEntry is set if that entry
+// is older than the report, so that the node must send its current one.
 func (r *Relay) Heartbeat(now time.Duration, report *apiv1.NodeReport, entry *apiv1.Entry) (held *apiv1.Entry, needEntry bool) {
 	r.lastContact = now
 	if entry != nil && entry.DataCenter == r.self.DataCenter {
@@ -228,8 +233,9 @@
 	return list
 }
 
-// Entries returns the entries of the given services that a node at cursor lacks.
-// If complete is set, they replace everything the node has.
+// Entries returns the entries of the given services that a node at cursor lacks, and the
+// node's next cursor. If resubscribe is set or the cursor is not from this relay's epoch,
+// it returns all entries and sets complete; they replace all entries that the node has.
 func (r *Relay) Entries(cursor *apiv1.Cursor, services []string, resubscribe bool) (entries []*apiv1.Entry, next *apiv1.Cursor, complete bool) {
 	wanted := make(map[string]bool, len(services))
 	for _, s := range services {
@@ -250,10 +256,10 @@
 	return entries, next, true
 }
 
-// changesSince returns the entries accepted by wanted that changed after version,
-// within the limits of one answer, and the version that the reader then has.
-// Urgent entries that are sent early are sent again in order, which has no effect
-// on the reader.
+// changesSince returns the entries accepted by wanted that changed after version, within
+// the limits of one answer, and the version from which the next answer must continue.
+// Urgent entries that are sent ahead of older changes are sent again when it is their turn,
+// which has no effect on the reader.
 func (r *Relay) changesSince(version uint64, wanted func(*apiv1.Entry) bool) (entries []*apiv1.Entry, next uint64) {
 	collect := func(limit int, match func(*apiv1.Entry) bool) func(*apiv1.Entry) bool {
 		return func(e *apiv1.Entry) bool {
@@ -274,8 +280,8 @@
 	return entries, next
 }
 
-// isUrgent reports whether an entry stops traffic to its host: a reader that lacks
-// it sends requests there that are refused or lost.
+// isUrgent reports whether an entry stops traffic to its host. Until a reader receives such
+// an entry, it sends requests to the host that are refused or lost.
 func isUrgent(e *apiv1.Entry) bool {
 	return e.State != apiv1.EndpointState_ENDPOINT_STATE_SERVING
 }
--- a/core/directory/simulation_test.go
+++ b/core/directory/simulation_test.go
@@ -37,8 +37,8 @@
 		blocked: func(string, string) bool { return false }}
 }
 
-// addDataCenter adds a data centre with the given number of nodes, the first of
-// which are relays.
+// addDataCenter adds a data centre with the given number of nodes. The first of them, as
+// many as relays states, are also relays.
 func (s *simulation) addDataCenter(name string, nodes, relays int) {
 	for i := range nodes {
 		host := fmt.Sprintf("%s-%d", name, i)
@@ -58,8 +58,8 @@
 	s.publishRelayList()
 }
 
-// publishRelayList distributes the list of relays as the control replicas do: a
-// relay whose lease has expired is left out. A relay that cannot reach the control
+// publishRelayList distributes the list of relays as the control replicas do. The list
+// contains the relays whose leases have not expired. A relay that cannot reach the control
 // replicas keeps its previous list.
 func (s *simulation) publishRelayList() {
 	const lease = 5 * time.Second
@@ -171,8 +171,8 @@
 	}
 }
 
-// countEntries returns the number of entries of a data centre that a relay holds in
-// a state.
+// countEntries returns the number of entries of a data centre in the given state in a
+// relay's table.
 func (s *simulation) countEntries(relay, center string, state apiv1.EndpointState) int {
 	n := 0
 	s.relays[relay].Table().VisitAll(func(e *apiv1.Entry) {
--- a/core/directory/table.go
+++ b/core/directory/table.go
@@ -2,16 +2,20 @@
 // backend server is announced by the node on its host; no other list of them
 // exists.
 //
-// An entry has a single writer, its node. Entries are ordered by (incarnation,
-// sequence), so that merging keeps the larger one. The relays of a data centre
-// receive its nodes' heartbeats and may mark an entry failed; the node refutes
-// that with its next sequence number. Between data centres, relays exchange only
-// the entries of their own data centre, so that stale entries cannot return
-// through a third one.
+// An entry describes the backend server of one host. Its only writer is the node on that
+// host, except that a relay may mark it failed. The versions of an entry are ordered by
+// (incarnation, sequence): the incarnation increases with each restart of the node, and the
+// sequence with each change. Merging two versions keeps the larger one.
 //
-// All types are pure state machines: the time is passed in, and messages and work
-// are returned. None is safe for concurrent use. Entries are immutable once they
-// are in a table.
+// Relays are nodes that keep the entries of all hosts. The nodes of a data centre send
+// heartbeats to its relays, which mark the entry of a silent node failed. A node that is
+// still running refutes this with its next sequence number. Between data centres, each
+// relay sends only the entries of its own data centre, so that stale entries cannot return
+// through a third data centre.
+//
+// All types are pure state machines: the time is passed in, and messages and work are
+// returned. None is safe for concurrent use. Entries are immutable once they are in a
+// table.
 package directory
 
 import (
@@ -23,8 +27,8 @@
 	apiv1 "cactuspath/api/cactuspath/v1"
 )
 
-// Supersedes reports whether entry a supersedes entry b of the same host. At equal
-// (incarnation, sequence), a relay's "failed" takes precedence over the state
+// Supersedes reports whether entry a is newer than entry b of the same host, or b is nil. At
+// equal (incarnation, sequence), an entry that a relay marked failed is newer than the one
 // announced by the node.
 func Supersedes(a, b *apiv1.Entry) bool {
 	if b == nil {
@@ -40,15 +44,16 @@
 	return a.State == failed && b.State != failed
 }
 
-// IsTombstone reports whether an entry is a tombstone, kept only so that an older
-// entry of its host cannot return.
+// IsTombstone reports whether an entry is a tombstone: its host has failed or departed, and
+// it is kept only so that an older entry of the host cannot return.
 func IsTombstone(e *apiv1.Entry) bool {
 	return e.State == apiv1.EndpointState_ENDPOINT_STATE_FAILED || e.State == apiv1.EndpointState_ENDPOINT_STATE_DEPARTED
 }
 
-// BucketCount is the number of digest buckets per data centre. For two tables of
-// 8,800 entries that differ in 10, a reconciliation costs 18 KB with 1,024 buckets
-// and 132 KB with 64. The digests themselves take 8 KB and are sent only after a
+// BucketCount is the number of digest buckets per data centre. Hosts are assigned to buckets
+// by hash, and two tables are reconciled by sending the entries of the buckets whose digests
+// differ. For two tables of 8,800 entries that differ in 10, this costs 18 KB with 1,024
+// buckets and 132 KB with 64. The digests themselves take 8 KB and are sent only after a
 // restart or a long silence.
 const BucketCount = 1024
 
@@ -138,9 +143,9 @@
 	t.changes = kept
 }
 
-// VisitChanges visits the entries that changed after version, oldest change first,
-// until visit returns false. It returns the version up to which the reader is then
-// up to date.
+// VisitChanges calls visit for the entries that changed after version, oldest change first,
+// until visit returns false. It returns the version up to which visit has accepted all
+// changes, from which a later call can continue.
 func (t *Table) VisitChanges(version uint64, visit func(*apiv1.Entry) bool) uint64 {
 	first := sort.Search(len(t.changes), func(i int) bool { return t.changes[i].version > version })
 	for _, c := range t.changes[first:] {
@@ -151,18 +156,18 @@
 	return t.version
 }
 
-// VisitAll visits every entry, in no particular order.
+// VisitAll calls visit for every entry, in no particular order.
 func (t *Table) VisitAll(visit func(*apiv1.Entry)) {
 	for _, r := range t.rows {
 		visit(r.entry)
 	}
 }
 
-// AllDataCenters selects all data centres in Digests.
+// AllDataCenters is the argument of Digests that selects all data centres.
 const AllDataCenters = ""
 
-// Digests returns one digest per bucket over the entries of a data centre, or of
-// all of them. Two tables with equal digests hold the same entries.
+// Digests returns the digest of each bucket over the entries of a data centre, or of all
+// data centres. Two tables with equal digests hold the same entries.
 func (t *Table) Digests(dataCenter string) []uint64 {
 	out := make([]uint64, BucketCount)
 	for center, d := range t.digests {
--- a/core/directory/view.go
+++ b/core/directory/view.go
@@ -6,12 +6,12 @@
 	apiv1 "cactuspath/api/cactuspath/v1"
 )
 
-// View is a node's copy of the entries of the services it needs. It follows the
-// change stream of one relay at a time.
+// View is a node's copy of the entries of the services that it needs. It receives their
+// changes from one relay at a time.
 type View struct {
 	entries map[string]*apiv1.Entry
 	cursor  *apiv1.Cursor
-	// answered are the services covered by the cursor.
+	// answered is the set of services whose entries up to the cursor are in the view.
 	answered map[string]bool
 }
 
@@ -20,12 +20,13 @@
 	return &View{entries: map[string]*apiv1.Entry{}, answered: map[string]bool{}}
 }
 
-// Cursor returns the view's position in its relay's change stream.
+// Cursor returns the view's position in its relay's sequence of changes, or nil if the view
+// follows no relay.
 func (v *View) Cursor() *apiv1.Cursor { return v.cursor }
 
-// Covers reports whether the view covers all the services. If not, the next answer
-// must be complete: changes since the cursor would omit entries that existed before
-// the service was requested.
+// Covers reports whether a relay has answered for all the given services. If not, the next
+// answer must be complete: the changes since the cursor would not include entries of a
+// newly requested service that have not changed since.
 func (v *View) Covers(services []string) bool {
 	for _, s := range services {
 		if !v.answered[s] {
@@ -38,10 +39,10 @@
 // Answered reports whether a relay has answered for a service.
 func (v *View) Answered(service string) bool { return v.answered[service] }
 
-// Apply processes a relay's answer to a request for services and reports whether
-// anything changed. An answer without a cursor is ignored: the relay is not ready
-// and the services must be requested again. A complete answer removes the entries
-// that it does not contain.
+// Apply processes a relay's answer to a request for the entries of services. It reports
+// whether the entries or the covered services changed. An answer without a cursor is
+// ignored: the relay is not ready and the services must be requested again. If complete is
+// set, entries that the answer does not contain are removed.
 func (v *View) Apply(services []string, entries []*apiv1.Entry, cursor *apiv1.Cursor, complete bool) bool {
 	if cursor == nil {
 		return false
@@ -74,12 +75,13 @@
 	return changed
 }
 
-// FollowsRelay reports whether the view follows a relay.
+// FollowsRelay reports whether the view holds the position in a relay's changes, so that it
+// needs only later ones from that relay.
 func (v *View) FollowsRelay() bool { return v.cursor != nil }
 
-// ApplyProvisional merges entries that were not confirmed by a relay, as long as
-// the view follows none. It reports whether anything changed. The first answer of a
-// relay replaces them.
+// ApplyProvisional merges entries that no relay has confirmed. It has no effect if the view
+// follows a relay. It reports whether anything changed. The first answer of a relay replaces
+// these entries.
 func (v *View) ApplyProvisional(entries []*apiv1.Entry) bool {
 	if v.cursor != nil {
 		return false
@@ -94,7 +96,8 @@
 	return changed
 }
 
-// Reset discards the cursor, so that the next answer is complete.
+// Reset discards the cursor, so that the next answer of a relay is complete. The entries
+// remain until then.
 func (v *View) Reset() { v.cursor = nil }
 
 // ByService returns the entries by service, without tombstones and ordered by host.
