--- a/core/consensus/election.go
+++ b/core/consensus/election.go
@@ -30,8 +30,8 @@
 	return r.quorum(func(id uint64) bool { return id == r.id || r.progress[id] != nil && r.progress[id].active }, true)
 }
 
-// quorum reports whether a majority of voters satisfies predicate. If clear is
-// set, it also resets the active flag of all members for the next check.
+// quorum reports whether a majority of voters satisfies predicate. If clear is set, it
+// also clears the active flag of all members, which is then set again by their next reply.
 func (r *Raft) quorum(predicate func(uint64) bool, clear bool) bool {
 	voters, satisfied := 0, 0
 	for _, m := range r.membership.Members {
@@ -57,8 +57,9 @@
 	r.electionElapsed = 0
 	r.electionTimeout = r.electionTicks + r.random.IntN(r.electionTicks)
 	if r.leader == 0 && r.role != Leader {
-		// There is no leader to wait for, after a split vote or a restart of all
-		// replicas. The random part alone keeps candidates from colliding.
+		// No leader is known, as after a split vote or a restart of all replicas, so there
+		// is no reason to wait for a full election timeout. The random part of the timeout
+		// is enough to keep candidates from campaigning at the same time.
 		r.electionTimeout = minLeaderlessElectionTicks + r.random.IntN(r.electionTicks)
 	}
 }
@@ -77,9 +78,10 @@
 	r.resetTimeout()
 }
 
-// campaign starts an election. With preVote it first asks whether it could win,
-// so that a replica returning from a partition does not depose a healthy leader
-// with its higher term. forced marks a leadership transfer.
+// campaign begins an election. If preVote is set, the replica first asks the others whether
+// it could win, without increasing its term, so that a replica that returns from a
+// partition does not depose a healthy leader with a higher term. forced is set for a
+// leadership transfer.
 func (r *Raft) campaign(preVote, forced bool) {
 	r.resetTimeout()
 	if !r.isVoter(r.id) {
@@ -109,8 +111,8 @@
 	}
 }
 
-// countVotes advances to the next role if a majority has granted its vote, and
-// reports whether it did.
+// countVotes advances from pre-candidate to candidate, or from candidate to leader, if a
+// majority has granted its vote. It reports whether it did.
 func (r *Raft) countVotes() bool {
 	if !r.quorum(func(id uint64) bool { return r.votes[id] }, false) {
 		return false
@@ -128,21 +130,21 @@
 	r.heartbeatElapsed, r.electionElapsed = 0, 0
 	r.progress = map[uint64]*progress{}
 	r.syncProgress()
-	// Entries of earlier terms commit only together with an entry of this term
-	// (section 5.4.2); without this empty entry they would stay uncommitted until
-	// the next proposal.
+	// Entries of earlier terms are committed only together with an entry of this term
+	// (section 5.4.2 of the Raft paper). Without this empty entry they would stay
+	// uncommitted until the next proposal.
 	r.appendEntry(apiv1.EntryKind_ENTRY_KIND_EMPTY, nil)
 	r.broadcastAppend()
 }
 
-// StepDown makes the replica a follower. It is used when the replica cannot
-// persist the state that leading or campaigning requires.
+// StepDown makes the replica a follower. The caller uses it if it cannot write to disk,
+// which a leader or candidate must be able to do.
 func (r *Raft) StepDown() {
 	r.becomeFollower(r.term, 0)
 }
 
-// TransferLeader asks a fully replicated voter to take over leadership before a
-// planned stop. It reports whether there was one.
+// TransferLeader asks a voter with a complete log to take over leadership, for use before a
+// planned stop of the leader. It reports whether there is such a voter.
 func (r *Raft) TransferLeader() bool {
 	if r.role != Leader {
 		return false
--- a/core/consensus/explore_test.go
+++ b/core/consensus/explore_test.go
@@ -298,7 +298,8 @@
 	}
 }
 
-// The explorer tests little if its faults prevent changes from being committed.
+// Guards against an explorer whose faults prevent changes from being committed, so that it
+// hardly tests anything.
 func TestExplorerMakesProgress(t *testing.T) {
 	x := newExplorer(t, 3, 3)
 	for i := 0; i < exploreSteps; i++ {
--- a/core/consensus/faults_test.go
+++ b/core/consensus/faults_test.go
@@ -5,7 +5,8 @@
 	"sort"
 )
 
-// Operations and faults that the explorer performs, one per step.
+// This file implements the operations and faults of the explorer, of which it performs one
+// per step.
 
 func (x *explorer) randomReplica() *replica {
 	return x.replicas[x.replicaIDs[x.random.IntN(len(x.replicaIDs))]]
@@ -72,9 +73,9 @@
 	return nil
 }
 
-// replaceDisk simulates the loss of one voter's disk if the others can continue
-// without it. The replica returns as a new member: first as a learner, then as a
-// voter once it has caught up.
+// replaceDisk simulates the loss of one voter's disk, if the other voters can continue
+// without it. The replica is removed and returns as a new member: first as a learner, then
+// as a voter once it has caught up.
 func (x *explorer) replaceDisk() {
 	leader := x.leaderReplica()
 	if leader == nil {
--- a/core/consensus/log.go
+++ b/core/consensus/log.go
@@ -9,9 +9,8 @@
 // raftLog is the part of the log that follows the last snapshot.
 //
 // Invariants: snapIndex ≤ applied ≤ committed ≤ lastIndex; entries[i] has
-// index snapIndex+1+i; entries up to stable have been synced by the caller.
-// Without the last one a replica could count its own unsynced entry towards a
-// quorum and lose it in a crash.
+// index snapIndex+1+i; the caller has synced the entries up to stable to disk. A replica
+// counts only its synced entries towards a quorum, since it could lose others in a crash.
 type raftLog struct {
 	snapIndex, snapTerm uint64
 	entries             []*apiv1.LogEntry
@@ -83,8 +82,9 @@
 	return term > l.lastTerm() || term == l.lastTerm() && index >= l.lastIndex()
 }
 
-// conflictHint returns the highest index at or below index whose term does not
-// exceed term: the point from which a leader continues after a rejected append.
+// conflictHint returns the highest index at or below index whose term does not exceed term.
+// After a rejected append, the logs of leader and member may match up to there, so the
+// leader continues from this index.
 func (l *raftLog) conflictHint(index, term uint64) uint64 {
 	index = min(index, l.lastIndex())
 	for index > l.snapIndex {
--- a/core/consensus/members.go
+++ b/core/consensus/members.go
@@ -6,9 +6,10 @@
 	apiv1 "cactuspath/api/cactuspath/v1"
 )
 
-// Members are added and removed one at a time, and a change takes effect as soon
-// as it is in the log, committed or not (section 4.1 of the Raft thesis). Two
-// concurrent changes could have majorities that do not overlap.
+// Members are added and removed one at a time, and a change takes effect as soon as it is
+// in the log, committed or not (section 4.1 of the Raft thesis). If two changes were in
+// progress at once, the old and the new membership could have majorities that do not
+// overlap, so that two leaders could be elected in one term.
 
 // AddLearner proposes a new member that receives the log but does not vote.
 func (r *Raft) AddLearner(id uint64, name, address string) (index, term uint64, err error) {
--- a/core/consensus/raft.go
+++ b/core/consensus/raft.go
@@ -3,8 +3,8 @@
 // single-server membership changes. Names follow the Raft paper and thesis.
 //
 // A Raft is a pure state machine: its inputs are messages, ticks and proposals,
-// and Ready returns a batch of work (what to sync, send and apply). The caller
-// processes the batch in the order documented on Ready and then calls Advance.
+// and Ready returns a batch of work (what to write to disk, send and apply). The caller
+// processes the batch in the order documented on the type Ready and then calls Advance.
 // A Raft is not safe for concurrent use.
 package consensus
 
@@ -20,6 +20,8 @@
 // Role is the role of a replica in its current term.
 type Role int
 
+// Roles. A PreCandidate asks whether it could win an election before it becomes a Candidate
+// in a new term.
 const (
 	Follower Role = iota
 	PreCandidate
@@ -52,17 +54,18 @@
 	// MaxPromotionLag is the maximum number of log entries by which a learner may
 	// lag behind the leader when it is promoted.
 	MaxPromotionLag = 64
-	// forcedCampaign, in the Hint of a vote request, marks a leadership transfer
-	// started by the leader: voters grant it although they still hear the leader.
+	// forcedCampaign, in the Hint of a vote request, marks an election that the leader
+	// itself requested to transfer its leadership. Voters consider such a request although
+	// they still receive messages from the leader.
 	forcedCampaign = 1
 )
 
 // Config holds the parameters of a Raft.
 type Config struct {
 	ID uint64
-	// ElectionTicks is the minimum election timeout; the actual timeout is drawn
-	// at random between one and two times this value. HeartbeatTicks must be
-	// much smaller.
+	// ElectionTicks is the minimum election timeout, in ticks. The actual timeout is drawn
+	// at random between one and two times this value. HeartbeatTicks is the interval
+	// between a leader's heartbeats and must be much smaller.
 	ElectionTicks, HeartbeatTicks int
 	Rand                          *rand.Rand
 }
@@ -83,8 +86,9 @@
 	match, next uint64
 	// active is set when the member has replied since the last quorum check.
 	active bool
-	// probing limits the leader to one append at a time until the point where
-	// the logs match is known; paused is set while that append is unanswered.
+	// probing limits the leader to one append message at a time, until it knows up to
+	// which entry the member's log matches its own. paused is set while it waits for the
+	// reply to that message.
 	probing, paused bool
 	// pendingSnapshot is the index of the snapshot being sent, or 0.
 	pendingSnapshot uint64
@@ -152,9 +156,9 @@
 	r.saved = apiv1.HardState{Term: r.term, Vote: r.vote, Commit: r.log.committed}
 	r.loadMembership()
 	r.becomeFollower(r.term, 0)
-	// After a restart of all replicas there is no leader, so waiting for a full
-	// election timeout would only delay the election. If there is a leader, the
-	// pre-vote fails without disturbing it.
+	// The first timeout is shorter than a normal election timeout: after a restart of all
+	// replicas there is no leader to wait for. If there is a leader, the pre-vote fails
+	// without disturbing it.
 	r.electionTimeout = 1 + r.random.IntN(r.electionTicks)
 	return r
 }
@@ -277,14 +281,15 @@
 	return e.Index, e.Term, nil
 }
 
-// Read requests a linearizable read. The result is returned in Ready.Reads.
+// Read requests a linearizable read, identified by context. The result is returned in
+// Ready.Reads once a majority has confirmed that this replica is still the leader.
 func (r *Raft) Read(context uint64) error {
 	if r.role != Leader {
 		return ErrNotLeader
 	}
 	if term, _ := r.log.term(r.log.committed); term != r.term {
-		// Until an entry of its own term commits, a new leader does not know
-		// how far the log is committed and could return stale data.
+		// Until it has committed an entry of its own term, a new leader does not know
+		// up to which entry the log is committed and could return stale data.
 		return ErrNotReady
 	}
 	r.unsentReads = append(r.unsentReads, pendingRead{context: context, index: r.log.committed})
--- a/core/consensus/raft_test.go
+++ b/core/consensus/raft_test.go
@@ -62,9 +62,9 @@
 	assert.Equal(t, r.Status().Commit, uint64(2))
 }
 
-// A partitioned leader must detect by its own clock that no majority replies,
-// step down and fail its pending reads. Otherwise operators who reach it wait for
-// answers that cannot come, or read stale data.
+// A partitioned leader must detect by its own clock that no majority replies, step down
+// and fail its pending reads. Otherwise operators who are connected to it would wait
+// forever or read stale data.
 func TestIsolatedLeaderStepsDownAndFailsReads(t *testing.T) {
 	r := newRaft(1, PersistentState{Founders: threeVoters()})
 	elect(t, r, 2)
@@ -81,9 +81,9 @@
 	assert.Equal(t, rd.Reads[0].Failed, true)
 }
 
-// A replica returns from a long partition and requests votes while the leader is
-// healthy. Voters that hear the leader must not reply: the higher term would
-// depose the leader and fail every change in progress.
+// A replica returns from a long partition and requests votes while the leader is healthy.
+// Voters that still receive the leader's messages must ignore the request: adopting its
+// higher term would depose the leader and fail every change in progress.
 func TestReturningReplicaDoesNotDeposeLeader(t *testing.T) {
 	r := newRaft(2, PersistentState{Founders: threeVoters()})
 	r.Step(&apiv1.RaftMessage{Kind: apiv1.MessageKind_MESSAGE_KIND_HEARTBEAT, From: 1, To: 2, Term: 5})
@@ -107,9 +107,9 @@
 	assert.Equal(t, r.Status().Role, Follower)
 }
 
-// A new leader receives a read before it has committed an entry of its own term.
-// It may not know yet how far its predecessor committed, so it must reject the
-// read instead of returning stale data.
+// A new leader receives a read before it has committed an entry of its own term. It may
+// not know yet up to which entry the previous leader has committed the log, so it must
+// reject the read instead of returning stale data.
 func TestNewLeaderAnswersNoReadBeforeItsFirstCommit(t *testing.T) {
 	r := newRaft(1, PersistentState{Founders: threeVoters()})
 	elect(t, r, 2)
@@ -117,9 +117,9 @@
 	assert.ErrorIs(t, r.Read(1), ErrNotReady)
 }
 
-// Promoting a learner that lacks the log must fail: it would count towards the
-// quorum without being able to commit, and the next failure would block all
-// changes.
+// Promoting a learner that lacks most of the log must fail. As a voter it would count
+// towards the quorum without being able to acknowledge new entries, so that the failure of
+// one more replica would block all changes.
 func TestLearnerMustCatchUpBeforePromotion(t *testing.T) {
 	r := newRaft(1, PersistentState{Founders: &apiv1.Membership{Members: []*apiv1.Member{{Id: 1, Name: "a"}}}})
 	for r.Status().Role != Leader {
@@ -136,8 +136,8 @@
 	assert.NilError(t, err)
 }
 
-// Two operators change the membership at the same time. Two uncommitted changes
-// can have majorities that share no replica, so the second must be rejected.
+// Two operators change the membership at the same time. With two uncommitted changes, there
+// can be two majorities that share no replica, so the second change must be rejected.
 func TestOneChangeOfMembersAtATime(t *testing.T) {
 	r := newRaft(1, PersistentState{Founders: threeVoters()})
 	elect(t, r, 2)
@@ -149,9 +149,9 @@
 	assert.ErrorIs(t, err, ErrChangePending)
 }
 
-// Messages must not be sent before the state they acknowledge is synced: a vote
-// that is sent and then lost in a crash could be granted again to another
-// candidate.
+// A batch of work with a vote must require a sync to disk before the vote is sent. If a
+// replica crashed after sending a vote that is not on disk, it could vote for another
+// candidate in the same term.
 func TestReadyOrdersSyncBeforeMessages(t *testing.T) {
 	r := newRaft(2, PersistentState{Founders: threeVoters()})
 	r.Step(&apiv1.RaftMessage{Kind: apiv1.MessageKind_MESSAGE_KIND_VOTE, From: 3, To: 2, Term: 4, Index: 9, LogTerm: 3})
@@ -161,9 +161,9 @@
 	assert.Equal(t, len(rd.Messages), 1)
 }
 
-// A leader of term 4 finds an entry of term 2 on a majority. Counting it as
-// committed would be wrong: a replica with an entry of term 3 at that index could
-// win the next election and overwrite it after an operator was told "accepted".
+// A leader of term 4 finds an entry of term 2 on a majority. It must not consider the entry
+// committed: a replica with an entry of term 3 at that index could win the next election
+// and overwrite it after an operator was told "accepted".
 func TestEntryOfOlderTermIsNotCommittedByCounting(t *testing.T) {
 	r := newRaft(1, PersistentState{Founders: threeVoters(), HardState: &apiv1.HardState{Term: 3}, Entries: []*apiv1.LogEntry{{Term: 1, Index: 1}, {Term: 2, Index: 2}}})
 	elect(t, r, 2)
@@ -176,9 +176,9 @@
 	assert.Equal(t, r.Status().Commit, uint64(3))
 }
 
-// A change is proposed while an earlier batch is being synced. It is not on disk
-// yet and must not count towards the quorum, or a crash could lose a committed
-// entry.
+// A change is proposed while an earlier batch of entries is being synced to disk. The new
+// entry is not on disk yet and must not count towards the quorum, or a crash could lose a
+// committed entry.
 func TestLeaderCountsOnlyItsSyncedEntries(t *testing.T) {
 	r := newRaft(1, PersistentState{Founders: &apiv1.Membership{Members: []*apiv1.Member{{Id: 1, Name: "a"}}}})
 	for r.Status().Role != Leader {
--- a/core/consensus/ready.go
+++ b/core/consensus/ready.go
@@ -76,9 +76,9 @@
 	}
 }
 
-// Compact discards the log up to index and returns a snapshot that replaces it,
-// with data as the state machine at index. It returns nil unless index is
-// applied and newer than the last snapshot.
+// Compact discards the log up to index and returns the snapshot that replaces it. data is
+// the encoded state machine after the entry at index. Compact returns nil and does nothing
+// unless that entry has been applied and is newer than the last snapshot.
 func (r *Raft) Compact(index uint64, data []byte) *apiv1.Snapshot {
 	if index <= r.log.snapIndex || index > r.log.applied {
 		return nil
--- a/core/consensus/register_test.go
+++ b/core/consensus/register_test.go
@@ -42,7 +42,7 @@
 	return []byte(text)
 }
 
-// operation is one submit or read, as recorded in the client's history.
+// operation is one submit or read of a client, as recorded for the linearizability check.
 type operation struct {
 	client   int
 	submit   bool
--- a/core/consensus/step.go
+++ b/core/consensus/step.go
@@ -23,13 +23,14 @@
 	r.dispatch(m)
 }
 
-// handleNewerTerm updates the term for a message with a newer one, and reports
-// whether the message should be processed further.
+// handleNewerTerm processes the term of a message with a newer term than this replica's,
+// which usually adopts it. It reports whether to process the message further.
 func (r *Raft) handleNewerTerm(m *apiv1.RaftMessage) bool {
 	switch m.Kind {
 	case apiv1.MessageKind_MESSAGE_KIND_PRE_VOTE, apiv1.MessageKind_MESSAGE_KIND_VOTE:
-		// While messages from the leader arrive, a newer term comes from a replica
-		// that was partitioned or removed; adopting it would depose a healthy leader.
+		// While this replica still receives messages from the leader, a vote request with a
+		// newer term comes from a replica that was partitioned or removed. Adopting its term
+		// would depose a healthy leader.
 		if m.Hint != forcedCampaign && r.leader != 0 && r.electionElapsed < r.electionTicks {
 			return false
 		}
@@ -48,8 +49,8 @@
 	return true
 }
 
-// replyToStaleTerm informs the sender of a message with an older term of the
-// current one, so that a partitioned leader learns that it was replaced.
+// replyToStaleTerm replies to a message with an older term with this replica's current
+// term, so that a leader that was partitioned learns that it has been replaced.
 func (r *Raft) replyToStaleTerm(m *apiv1.RaftMessage) {
 	switch m.Kind {
 	case apiv1.MessageKind_MESSAGE_KIND_APPEND, apiv1.MessageKind_MESSAGE_KIND_HEARTBEAT, apiv1.MessageKind_MESSAGE_KIND_SNAPSHOT:
@@ -175,9 +176,9 @@
 		return
 	}
 	if term, ok := r.log.term(s.Index); ok && term == s.Term {
-		// The log already extends to or past the snapshot. Resetting it would
-		// discard entries that this replica acknowledged: a delayed or duplicated
-		// snapshot could then remove a committed entry from its majority.
+		// The log already contains everything in the snapshot. Replacing the log by a
+		// delayed or duplicated snapshot would discard entries that this replica has
+		// acknowledged, so that a committed entry could be left on less than a majority.
 		r.log.committed = s.Index
 		reply.Index = s.Index
 		r.send(reply)
@@ -233,7 +234,8 @@
 	p.round = max(p.round, m.Round)
 	if p.match < r.log.lastIndex() {
 		if !p.probing && p.next > p.match+1 {
-			// The append may have been lost; resend from the last known match.
+			// The last append message may have been lost; resend the entries after the
+			// last one known to match.
 			p.next = p.match + 1
 		}
 		r.sendAppend(m.From)
@@ -326,9 +328,9 @@
 }
 
 // maybeCommit advances the commit index to the highest entry replicated on a
-// majority of voters. Only entries of the leader's own term count (section
-// 5.4.2): an older entry, even on a majority, could still be overwritten by
-// another leader.
+// majority of voters. Only entries of the leader's own term count (section 5.4.2 of the
+// Raft paper): an entry of an older term, even if it is on a majority, could still be
+// overwritten by another leader.
 func (r *Raft) maybeCommit() bool {
 	index := r.majorityMatch()
 	if term, ok := r.log.term(index); !ok || term != r.term || index <= r.log.committed {
