--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -114,9 +114,9 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// ServeVars writes metrics in expvar's format for one part of a process. The handler of
-// package expvar serves one set per process, but `cactuspath dev` runs several nodes in
-// one process.
+// ServeVars returns a handler that writes the given metrics in the format of package
+// expvar. The handler of expvar itself serves only one set of metrics per process, but
+// `cactuspath dev` runs several nodes in one process.
 func ServeVars(vars func() map[string]expvar.Var) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json; charset=utf-8")
--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -8,26 +8,28 @@
 	"k8s.io/klog/v2"
 )
 
-// Announcement describes a backend server to its node.
+// Announcement is the message with which a backend server registers at the node of its
+// host and renews the registration.
 type Announcement struct {
 	Service string `json:"service"`
 	// Address is the address at which the node reaches the backend server.
 	Address string `json:"address"`
-	// Slots is the number of requests it runs concurrently; 0 means the number in the
-	// estate.
+	// Slots is the number of requests that the backend server runs concurrently; 0
+	// means the number in the estate.
 	Slots uint32 `json:"slots,omitempty"`
-	// Instance identifies the backend server, if its requests name the instance that
-	// must run them.
+	// Instance identifies the backend server if requests to it name the instance that
+	// must run them; otherwise it is empty.
 	Instance string `json:"instance,omitempty"`
 	// StartedAt is the start time of the backend server in Unix milliseconds, or 0 if
-	// unknown. A server may restart as the same instance: the later start knows nothing
-	// of what was sent to the earlier one, and its sequence restarts.
+	// unknown. It distinguishes two processes of the same instance: after a restart,
+	// the server has no record of earlier requests and its Sequence begins again.
 	StartedAt int64 `json:"startedAt,omitempty"`
-	// Sequence orders the announcements of one start of an instance or, if no instance
-	// is named, of one address; late ones are ignored. 0 means that the announcements
-	// are unordered.
+	// Sequence increases with each announcement that one process of an instance (or, if
+	// Instance is empty, one address) sends. An announcement with a lower sequence than
+	// the last one arrived late and is ignored. 0 means that the announcements are
+	// unordered.
 	Sequence uint64 `json:"sequence,omitempty"`
-	// ColdFor is how long the server stays cold; 0 means the slow start time in the
+	// ColdFor is how long a cold server stays cold; 0 means the slow start time in the
 	// estate.
 	ColdFor  time.Duration `json:"coldFor,omitempty"`
 	Draining bool          `json:"draining,omitempty"`
@@ -36,8 +38,9 @@
 	Cold bool `json:"cold,omitempty"`
 }
 
-// Announce registers or renews an announcement. If it asks for a drain, the gate starts
-// no more requests once Announce returns.
+// Announce registers the backend server or renews its registration. If the announcement
+// says that the server is draining, the gate sends it no more requests once Announce
+// returns.
 func (n *Node) Announce(a Announcement) error {
 	if problem := a.validate(); problem != "" {
 		return errors.New(problem)
@@ -57,8 +60,8 @@
 	return n.records.Revision() == 0 || record != nil && !record.Removed
 }
 
-// Withdraw ends the announcement of an instance. It does nothing for an earlier
-// instance, whose announcement has already ended.
+// Withdraw ends the registration of an instance. It does nothing if another instance is
+// registered.
 func (n *Node) Withdraw(instance, why string) {
 	n.mu.Lock()
 	current := n.server != nil && n.server.instance == instance
@@ -68,7 +71,7 @@
 	}
 }
 
-// announce registers or renews an announcement.
+// announce registers the backend server or renews its registration.
 func (n *Node) announce(a Announcement) error {
 	n.mu.Lock()
 	if why := n.staleReason(a); why != "" {
@@ -90,7 +93,7 @@
 	restarted := !moved && s.startedAt > 0 && a.StartedAt > s.startedAt
 	changed := fresh || moved || restarted || s.slots != a.Slots || s.draining != a.Draining
 	if s.instance != "" && s.instance != a.Instance {
-		n.endedStarts.add(s.instance, s.startedAt)
+		n.endedProcesses.add(s.instance, s.startedAt)
 	}
 	s.update(a)
 	if changed {
@@ -104,7 +107,7 @@
 		s.endpoint.ServerRestarted(a.Address)
 	}
 	if a.Cold {
-		// Renewals count as well: a server may become cold at any time.
+		// This also applies to renewals: a server may become cold at any time.
 		s.endpoint.SetCold(a.ColdFor)
 	}
 	if changed {
@@ -126,11 +129,12 @@
 }
 
 // staleReason returns why an announcement is older than the known state, or "" if it is
-// not. A delayed announcement could end a drain, after which requests would reach a
-// backend server that is leaving, or restore one that has ended.
+// not. If a delayed announcement were applied, it could cancel a drain, so that
+// requests reach a backend server that is shutting down, or register a server that has
+// ended.
 func (n *Node) staleReason(a Announcement) string {
 	switch {
-	case a.Instance != "" && n.endedStarts.has(a.Instance, a.StartedAt):
+	case a.Instance != "" && n.endedProcesses.has(a.Instance, a.StartedAt):
 		return "this instance has ended"
 	case n.server != nil && n.server.startedAfter(a):
 		return "the backend server has restarted since"
@@ -141,15 +145,16 @@
 }
 
 // startedAfter reports whether the known backend server started after the announced
-// one. Sequences restart with each start: when ordered by sequence alone, a node
-// ignored every announcement of a restarted server until its lease expired, and never
-// served it again.
+// one. The sequence alone does not suffice to order announcements, because it begins
+// again when the server restarts: the node would ignore the announcements of a
+// restarted server until the lease of the earlier process expires, and would never
+// accept the server again.
 func (s *server) startedAfter(a Announcement) bool {
 	return a.StartedAt > 0 && a.StartedAt < s.startedAt && s.address == a.Address
 }
 
-// olderSequence reports whether an announcement was made before the known one, by the
-// same start of the backend server.
+// olderSequence reports whether an announcement was sent before the last applied one by
+// the same process of the backend server.
 func (s *server) olderSequence(a Announcement) bool {
 	if s.instance != a.Instance || a.Sequence >= s.sequence {
 		return false
@@ -160,27 +165,29 @@
 	return a.Instance != "" || s.address == a.Address && a.Sequence > 0
 }
 
-// maxEndedStarts is how many ended instances a node remembers: far more than one host
-// sees within the time by which an announcement can be delayed.
-const maxEndedStarts = 64
+// maxEndedProcesses is the number of ended server processes that a node remembers. It is
+// far more than end on one host within the maximum delay of an announcement.
+const maxEndedProcesses = 64
 
-// instanceStart identifies a start of an instance that has ended.
-type instanceStart struct {
+// instanceProcess identifies one process of an instance by its start time.
+type instanceProcess struct {
 	instance  string
 	startedAt int64
 }
 
-// endedStarts holds the most recent starts that have ended.
-type endedStarts struct{ starts []instanceStart }
+// endedProcesses holds the server processes that ended most recently, at most
+// maxEndedProcesses of them.
+type endedProcesses struct{ processes []instanceProcess }
 
-// has reports whether this start of the instance, or a later one, has ended.
-func (r *endedStarts) has(instance string, startedAt int64) bool {
-	return slices.ContainsFunc(r.starts, func(e instanceStart) bool { return e.instance == instance && startedAt <= e.startedAt })
+// has reports whether this process of the instance, or one that started later, has
+// ended.
+func (r *endedProcesses) has(instance string, startedAt int64) bool {
+	return slices.ContainsFunc(r.processes, func(e instanceProcess) bool { return e.instance == instance && startedAt <= e.startedAt })
 }
 
-func (r *endedStarts) add(instance string, startedAt int64) {
-	r.starts = append(r.starts, instanceStart{instance, startedAt})
-	if len(r.starts) > maxEndedStarts {
-		r.starts = r.starts[1:]
+func (r *endedProcesses) add(instance string, startedAt int64) {
+	r.processes = append(r.processes, instanceProcess{instance, startedAt})
+	if len(r.processes) > maxEndedProcesses {
+		r.processes = r.processes[1:]
 	}
 }
--- a/internal/node/announce_test.go
+++ b/internal/node/announce_test.go
@@ -22,7 +22,7 @@
 	return hop.ServerLoad{Slots: 7, Slowdown: 1}, true
 }}
 
-// newTestNode returns a node that reaches no control replica.
+// newTestNode returns a node that is not running and cannot reach a control replica.
 func newTestNode(t *testing.T, backend string) *Node {
 	t.Helper()
 	listen := func() net.Listener {
@@ -42,9 +42,9 @@
 	return Announcement{Service: "pay", Address: "127.0.0.1:9", Slots: 4, Instance: instance, Sequence: sequence, Draining: draining}
 }
 
-// Guards against a delayed announcement that ends a drain: the backend server announces
-// that it is leaving, and an earlier announcement arrives after that. Requests would
-// reach a server that is leaving.
+// Guards against a delayed announcement that cancels a drain. A backend server
+// announces that it is draining, and an earlier announcement arrives afterwards. If it
+// were applied, requests would reach a server that is shutting down.
 func TestLateAnnouncementDoesNotEndADrain(t *testing.T) {
 	for _, instance := range []string{"i-1", ""} {
 		n := newTestNode(t, "")
@@ -64,7 +64,7 @@
 	n := newTestNode(t, "")
 	assert.NilError(t, n.Announce(announcement("", 7, true)))
 	assert.NilError(t, n.Announce(announcement("", 0, false)))
-	assert.Assert(t, !n.draining(), "announcements without a sequence are unordered")
+	assert.Assert(t, !n.draining(), "an announcement without a sequence did not cancel the drain")
 	assert.NilError(t, n.Announce(announcement("", 9, false)))
 	elsewhere := announcement("", 3, false)
 	elsewhere.Address = "127.0.0.1:10"
@@ -72,9 +72,9 @@
 	assert.Equal(t, n.server.address, "127.0.0.1:10")
 }
 
-// Guards against an ended instance that is registered again: a backend server restarts
-// as another instance, and a delayed announcement of the ended one arrives, also after
-// the new one has left.
+// Guards against registering an instance that has ended. A backend server restarts as
+// another instance, and a delayed announcement of the ended instance arrives, once
+// while the new instance is registered and once after it was withdrawn.
 func TestEndedInstanceIsNotAnnouncedAgain(t *testing.T) {
 	n := newTestNode(t, "")
 	assert.NilError(t, n.Announce(announcement("i-1", 5, false)))
@@ -82,7 +82,7 @@
 	assert.NilError(t, n.Announce(announcement("i-1", 6, false)))
 	assert.Equal(t, n.server.instance, "i-2")
 	n.Withdraw("i-1", "late")
-	assert.Assert(t, n.server != nil, "the end of an earlier instance withdrew the newer one")
+	assert.Assert(t, n.server != nil, "withdrawing an ended instance withdrew the current one")
 	n.Withdraw("i-2", "it left")
 	assert.NilError(t, n.Announce(announcement("i-2", 9, false)))
 	assert.Assert(t, n.server == nil)
@@ -98,9 +98,10 @@
 	assert.ErrorContains(t, n.Announce(other), "another service")
 }
 
-// A node that was restarted alone queries the backend server beside it and opens its
-// gate before the next announcement. A server that is leaving does not respond with 200
-// and has to announce itself.
+// Guards against refusing requests after a restart of only the node, until the next
+// announcement arrives. The node must query the backend server next to it and open its
+// gate. A server that does not respond with 200, because it is draining, must not be
+// registered by the query.
 func TestRestartedNodeDiscoversServer(t *testing.T) {
 	leaving := false
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -124,8 +125,8 @@
 	assert.Equal(t, n.server.slots, uint32(7))
 }
 
-// Revisions arrive from two replicas and a relay in any order; a node never returns to
-// an older one.
+// Guards against returning to an older revision. Two replicas and a relay send
+// revisions to a node in any order.
 func TestRevisionNeverGoesBack(t *testing.T) {
 	n := newTestNode(t, "")
 	delta := func(since, revision uint64) *apiv1.EstateDelta {
@@ -141,9 +142,9 @@
 	}
 }
 
-// Guards against a gate without slots, which refused all requests as full: a heartbeat
-// that is sent while the backend server is being announced brings requests before the
-// node has applied the configuration.
+// Guards against a gate without slots, which refuses all requests as full. A heartbeat
+// that is sent while the backend server is being registered makes other nodes send
+// requests before this node has applied the configuration to the gate.
 func TestGateHasSlotsBeforeServerIsAnnounced(t *testing.T) {
 	n := newTestNode(t, "")
 	n.mu.Lock()
@@ -158,18 +159,20 @@
 	return a
 }
 
-// Guards against ignoring a restarted server: a backend server crashes and starts again
-// as the same instance, with its sequence restarted. Ordered by sequence alone, the
-// node ignored its announcements until the lease expired, and never served it again.
+// Guards against ignoring a restarted server. A backend server crashes and starts again
+// as the same instance, and its sequence begins again. If the node orders announcements
+// by sequence alone, it ignores those of the new process until the lease expires, and
+// never accepts the server again.
 func TestServerThatStartsAgainAsSameInstanceIsAccepted(t *testing.T) {
 	n := newTestNode(t, "")
 	assert.NilError(t, n.Announce(startedAt(announcement("i-1", 50, true), 1000)))
 	assert.NilError(t, n.Announce(startedAt(announcement("i-1", 1, false), 2000)))
 	assert.Equal(t, n.server.sequence, uint64(1))
 	n.mu.Lock()
-	assert.Assert(t, !n.draining(), "the drain of the earlier start drained the new one")
+	assert.Assert(t, !n.draining(), "a delayed announcement of the earlier process started a drain of the new process")
 	n.mu.Unlock()
-	// Delayed announcements of the earlier start, including its drain.
+	// Delayed announcements of the earlier process, one of which says that it is
+	// draining.
 	assert.NilError(t, n.Announce(startedAt(announcement("i-1", 51, true), 1000)))
 	assert.Equal(t, n.server.startedAt, int64(2000))
 	n.mu.Lock()
@@ -177,30 +180,32 @@
 	n.mu.Unlock()
 	n.withdraw("lease expired")
 	assert.NilError(t, n.Announce(startedAt(announcement("i-1", 52, false), 2000)))
-	assert.Assert(t, n.server == nil, "an ended start was announced again")
+	assert.Assert(t, n.server == nil, "a process that has ended was registered again")
 	assert.NilError(t, n.Announce(startedAt(announcement("i-1", 1, false), 3000)))
-	assert.Assert(t, n.server != nil, "a later start of an ended instance was ignored")
+	assert.Assert(t, n.server != nil, "an instance that was started again after it had ended was ignored")
 }
 
-// The node was restarted alone and discovered the server by querying it; the health
-// response does not contain the start time. The next announcement adds it and does not
-// count as a restart.
+// Guards against treating a server as restarted when its start time becomes known.
+// After a restart of only the node, it discovers the server through a health check,
+// whose response does not contain the start time. The next announcement adds the start
+// time.
 func TestStartTimeIsLearnedFromNextAnnouncement(t *testing.T) {
 	n := newTestNode(t, "")
 	assert.NilError(t, n.announceDiscovered(announcement("i-1", 0, false)))
 	e := n.server.endpoint
 	serverCtx := e.ServerContext()
 	assert.NilError(t, n.Announce(startedAt(announcement("i-1", 7, false), 1000)))
-	assert.NilError(t, serverCtx.Err(), "exchanges were ended although the server did not start again")
+	assert.NilError(t, serverCtx.Err(), "requests in flight were canceled although the server did not restart")
 	assert.Equal(t, n.server.startedAt, int64(1000))
 	assert.NilError(t, n.Announce(startedAt(announcement("i-1", 1, false), 2000)))
 	assert.Assert(t, serverCtx.Err() != nil)
 	assert.Equal(t, n.server.endpoint, e, "the gate with the record of earlier requests was replaced")
 }
 
-// A heartbeat of a crashed server was delayed by a network partition, and another
-// server has registered at the address since. This node started after the crash and has
-// not seen the earlier server end, so it compares their start times.
+// Guards against registering a crashed server. A network partition delays its
+// heartbeat, and meanwhile another server registers at the same address. The node
+// started after the crash, so it does not know that the earlier server has ended and
+// has to compare the start times of the two servers.
 func TestHeldUpAnnouncementOfEarlierServerIsIgnored(t *testing.T) {
 	n := newTestNode(t, "")
 	assert.NilError(t, n.Announce(startedAt(announcement("i-2", 1, false), 2000)))
@@ -209,8 +214,8 @@
 	assert.Assert(t, !n.server.draining)
 }
 
-// An announcement names a service that the estate does not have. The state of the
-// host's own backend server is kept.
+// Guards against accepting an announcement for a service that the estate does not have.
+// The registered backend server must be kept.
 func TestUnknownServiceIsNotServed(t *testing.T) {
 	n := newTestNode(t, "")
 	n.applyDelta(&apiv1.EstateDelta{Revision: 1, Complete: true, Services: []*apiv1.ServiceRecord{{Name: "pay", ChangedAt: 1, Spec: &apiv1.ServiceSpec{Slots: 1}}}}, true, "test")
@@ -222,9 +227,10 @@
 	assert.Assert(t, n.server != nil)
 }
 
-// Guards against running a request twice, such as a payment: a request ran at a server
-// that was then withdrawn, and its response was lost. The gate of the next announced
-// server has no record of the request and must not answer "never started".
+// Guards against running a request twice, for example a payment. A server runs the
+// request and is withdrawn, and the response is lost. The gate of the next server has
+// no record of the request and must not report that it was never started, because the
+// sender would then send it again.
 func TestLaterGateDoesNotAnswerForEarlierGate(t *testing.T) {
 	n := newTestNode(t, "")
 	assert.NilError(t, n.Announce(announcement("i-1", 1, false)))
@@ -234,8 +240,9 @@
 	assert.Equal(t, n.server.endpoint.Revoke(id, 100*time.Millisecond), gate.RevokeUnknown)
 }
 
-// Guards against overloading a cold server: a server may become cold at any time, and
-// reports it in an ordinary renewal.
+// Guards against overloading a server that becomes cold while it is registered. It
+// reports this in an ordinary renewal, from which the gate must start to limit
+// requests.
 func TestRenewalThatSaysServerIsColdIsApplied(t *testing.T) {
 	n := newTestNode(t, "")
 	n.records.Replace("site", rollout.Contents{Services: map[string]*apiv1.ServiceSpec{"pay": {Slots: 4, Queue: 8, ColdRequestsPerSecond: 5}}}, 1)
@@ -251,8 +258,9 @@
 	assert.Equal(t, e.Load().ColdStarts, 5)
 }
 
-// Guards against overloading a cold server before the node has a configuration: other
-// nodes may have one and send requests.
+// Guards against overloading a cold server before the node has a configuration that
+// says how many requests it can handle. Other nodes may already have the configuration
+// and send requests.
 func TestColdServerIsSparedWhileLimitIsUnknown(t *testing.T) {
 	n := newTestNode(t, "")
 	a := announcement("i-1", 1, false)
--- a/internal/node/apply_test.go
+++ b/internal/node/apply_test.go
@@ -30,12 +30,13 @@
 			Shares: []*apiv1.RouteShare{{Service: "pay", Weight: 1}}}}}}
 }
 
-// Guards against an older configuration that replaces a newer one. A node that had just
-// started answered 404 "no such service" for a path with a route: it learned of other
-// nodes and of its first configuration at the same time. One goroutine read the records
-// before there were any, the other published the revision, and the first then applied
-// its empty table because a revision was known. In the same way an old table can
-// replace a newer one and stay until the next change.
+// Guards against replacing a configuration by an older one, so that a node that has
+// just started answers 404 "no such service" for a path with a route. The node receives
+// entries of other nodes and its first configuration at the same time. One goroutine
+// reads the records while they are still empty, another stores the first configuration
+// and publishes its revision, and the first one then applies its empty routing table
+// because a revision is known. In the same way, an old table can replace a newer one
+// and stay until the next change.
 func TestConfigurationIsNotReplacedByAnOlderOne(t *testing.T) {
 	for round := range 400 {
 		t.Run(fmt.Sprint(round), func(t *testing.T) {
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -14,7 +14,8 @@
 	watches, watchFailures                                    expvar.Int
 	reportsSent, reportsReceived, reportsMalformed            expvar.Int
 	quarantine                                                quarantine.Counters
-	// viewChanged and configurationChanged hold the times of the last change.
+	// viewChanged and configurationChanged hold the times of the last change of the
+	// directory view and of the configuration, in Unix milliseconds.
 	viewChanged, configurationChanged expvar.Int
 }
 
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// discoveryInterval is how often a node that has just started queries its backend
-	// server, and discoveryPeriod for how long: by then an announcement must have
-	// arrived.
+	// A node that has just started queries its backend server every discoveryInterval,
+	// for at most discoveryPeriod: a running server announces itself within that time.
 	discoveryInterval = 50 * time.Millisecond
 	discoveryPeriod   = 3 * time.Second
 	discoveryTimeout  = 300 * time.Millisecond
 )
 
 // discoverServer queries the backend server for its identity, if the settings contain
-// its address. A node that was restarted alone would otherwise refuse requests until
-// the next announcement, a second or two later.
+// its address and service and the dialect has a header field for the instance. Without
+// this, a node that restarts while its backend server keeps running would refuse
+// requests until the next announcement, one or two seconds later.
 func (n *Node) discoverServer(ctx context.Context) {
 	d := n.options.Dialect
 	if n.options.Backend == "" || n.options.Service == "" || d == nil || d.Instance == "" {
@@ -48,8 +48,9 @@
 	}
 }
 
-// announceDiscovered registers the discovered server unless it has announced itself in
-// the meantime: its own announcement is newer and may say that it is leaving.
+// announceDiscovered registers the discovered server unless the server has announced
+// itself in the meantime: its own announcement is newer and may say that it is
+// draining.
 func (n *Node) announceDiscovered(a Announcement) error {
 	if n.currentEndpoint() != nil {
 		return nil
@@ -57,8 +58,9 @@
 	return n.announce(a)
 }
 
-// queryServer sends a request to the service's health path. A server that is leaving or
-// unhealthy does not respond with 200 there and has to announce itself.
+// queryServer sends a request to the service's health path and reads the server's
+// identity from the response. It returns false if the response is not 200, as from a
+// server that is draining or unhealthy; such a server has to announce itself.
 func (n *Node) queryServer(ctx context.Context, pool *hop.Pool) (Announcement, bool) {
 	n.mu.Lock()
 	path := n.records.Service(n.options.Service).GetSpec().GetHealthPath()
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -8,8 +8,8 @@
 
 // The node's own entry in the directory.
 
-// entryVersion identifies the contents of an entry; the entry is sent again when it
-// changes.
+// entryVersion identifies a version of this node's directory entry. The entry is sent
+// again when its version changes.
 type entryVersion struct {
 	incarnation, sequence uint64
 	state                 apiv1.EndpointState
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -18,14 +18,14 @@
 const (
 	// heartbeatJitter spreads the heartbeats of nodes that started together.
 	heartbeatJitter = 0.2
-	// syncHold is how long the relay may hold its response: one heartbeat a second,
-	// answered early when there are updates.
+	// syncHold is how long the relay may hold its response while there are no updates,
+	// so that a node sends about one heartbeat per second.
 	syncHold = directory.HeartbeatInterval
-	// syncTimeout is the time allowed for the response after the hold.
+	// syncTimeout is the time after the hold in which the response must arrive.
 	syncTimeout = time.Second
-	// staleConfirmation is the age at which a relay's confirmation is too old: a node
-	// that starts without a configuration then treats the one it receives as
-	// unconfirmed.
+	// staleConfirmation is the maximum age of the last confirmation by a leader that
+	// the relay has the newest configuration. If it is older, a node that has no
+	// configuration treats the one from the relay as unconfirmed.
 	staleConfirmation = 10 * time.Second
 )
 
@@ -33,8 +33,8 @@
 	return time.Duration(float64(d) * (1 - heartbeatJitter/2 + heartbeatJitter*rand.Float64()))
 }
 
-// sync exchanges one heartbeat with a relay; again means that another is due
-// immediately.
+// sync sends one heartbeat to a relay and applies the response. It returns again if
+// another heartbeat is due immediately.
 func (m *member) sync(ctx context.Context, r *apiv1.RelayInfo) (again bool, err error) {
 	n := m.n
 	previous := m.currentRelay
@@ -76,9 +76,10 @@
 	return m.applyResponse(req.Services, resp), nil
 }
 
-// notifyPreviousRelay tells the previous relay that this node has moved. The relay
-// would learn it from the new one within seconds, but until then would suspect the node
-// because its heartbeats stopped.
+// notifyPreviousRelay tells the previous relay that this node reports to another relay
+// now. The previous relay would otherwise learn this from the new relay within seconds,
+// but until then it would suspect that the node has failed because its heartbeats
+// stopped.
 func (m *member) notifyPreviousRelay(previous *apiv1.RelayInfo, req *apiv1.NodeSyncRequest) {
 	if previous == nil {
 		return
@@ -87,7 +88,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), syncTimeout)
 		defer cancel()
-		// The error is ignored: a relay that is gone need not be notified.
+		// The error is ignored: a relay that does not respond need not be notified.
 		_, _ = m.n.peers.at(previous.PeerAddress).Sync(ctx, connect.NewRequest(notice))
 	}()
 }
@@ -116,8 +117,9 @@
 	return req
 }
 
-// entryChanged reports whether the relay lacks this node's latest entry. A change of
-// state takes a new sequence number, so that it supersedes the previous entry.
+// entryChanged reports whether the relay does not have this node's latest entry. If the
+// state has changed, it increases the sequence number, so that the new entry supersedes
+// the previous one.
 func (m *member) entryChanged() bool {
 	n := m.n
 	now := n.entryVersion()
@@ -130,8 +132,8 @@
 	return true
 }
 
-// applyResponse applies a relay's response for the services and reports whether another
-// sync is due immediately.
+// applyResponse applies a relay's response to a heartbeat that requested the given
+// services, and reports whether another heartbeat is due immediately.
 func (m *member) applyResponse(services []string, resp *apiv1.NodeSyncResponse) (again bool) {
 	n := m.n
 	n.mu.Lock()
@@ -145,8 +147,8 @@
 		changed = true
 	}
 	n.publishRevision(before, resp.ConfirmedAgeMs < uint64(staleConfirmation.Milliseconds()), "relay "+m.currentRelay.GetHost())
-	// A service that was requested in the meantime is fetched immediately; one that the
-	// relay could not answer for waits for the next heartbeat.
+	// A service that was requested in the meantime is fetched immediately. A service
+	// for which the relay has no answer yet is requested again with the next heartbeat.
 	again = again || resp.Cursor != nil && !n.view.Covers(n.subscribedServices())
 	if changed {
 		n.signalChange()
@@ -158,9 +160,10 @@
 	return again
 }
 
-// refuteOutdated raises the version of this node's entry above the one the relay holds
-// if that differs from the node's own state: a relay has marked the node failed, or an
-// earlier incarnation had a clock that was ahead.
+// refuteOutdated makes this node's entry newer than the one that the relay holds, if
+// the relay's entry is wrong: a relay has marked the node as failed, or an earlier
+// process of the node used a higher incarnation because its clock was ahead. It reports
+// whether the entry has to be sent again.
 func (m *member) refuteOutdated(resp *apiv1.NodeSyncResponse) bool {
 	n := m.n
 	mine := n.incarnation.Load()
--- a/internal/node/member.go
+++ b/internal/node/member.go
@@ -8,24 +8,28 @@
 	apiv1 "cactuspath/api/cactuspath/v1"
 )
 
-// minSyncInterval makes updates that arrive in quick succession share one sync.
+// minSyncInterval is the minimum time between two syncs, so that several updates in
+// quick succession are sent together.
 const minSyncInterval = 20 * time.Millisecond
 
-// member maintains this node's membership in the directory: it reports to a relay of
-// its data centre and applies what the relay knows.
+// member keeps this node registered in the directory: it sends heartbeats to a relay of
+// its data centre and applies the directory entries and configuration changes in the
+// responses.
 type member struct {
 	n            *Node
 	syncRequests chan struct{}
-	// interrupted is set when a sync request canceled the sync in progress.
+	// interrupted is set when requestSync cancels the sync in progress, to distinguish
+	// this from a failure of the relay.
 	interrupted atomic.Bool
-	// roundRequests receives requests for a round; the channel sent is closed when the
-	// round is done.
+	// roundRequests receives requests for a sync round. Each request is a channel that
+	// is closed when the round is done.
 	roundRequests    chan chan<- struct{}
 	relays           []*apiv1.RelayInfo
 	unreachableUntil map[string]time.Time
 	currentRelay     *apiv1.RelayInfo
 	searchBackoff    time.Duration
-	// sentVersion is the version of the entry that the current relay has.
+	// sentVersion is the version of this node's entry that was last sent to the current
+	// relay.
 	sentVersion entryVersion
 }
 
@@ -33,7 +37,7 @@
 	return &member{n: n, syncRequests: make(chan struct{}, 1), roundRequests: make(chan chan<- struct{}), unreachableUntil: map[string]time.Time{}, searchBackoff: minSearchBackoff}
 }
 
-// requestSync requests an immediate sync.
+// requestSync requests an immediate sync without waiting for it.
 func (m *member) requestSync() {
 	select {
 	case m.syncRequests <- struct{}{}:
@@ -76,9 +80,9 @@
 	return m.findRelays(ctx)
 }
 
-// interruptOnRequest cancels a held sync when another one is requested: an update of
-// this node must not wait for the relay's updates. The returned function stops the
-// goroutine.
+// interruptOnRequest cancels the sync in progress when another one is requested. The
+// relay may hold its response until it has updates, and an update of this node must not
+// wait for that. The returned function stops the goroutine that waits for requests.
 func (m *member) interruptOnRequest(cancel context.CancelFunc) (stop func()) {
 	done, exited := make(chan struct{}), make(chan struct{})
 	go func() {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,9 @@
-// Package node runs beside one backend server: it serves callers, limits the load on
-// the backend server with its gate, takes part in the directory, holds the
-// configuration, and acts as a relay of its data centre when chosen.
+// Package node implements the proxy process on a host, next to the backend server of
+// that host. A node accepts requests of callers and forwards them to backend servers,
+// limits the load on its own backend server with a gate, publishes its state in the
+// directory of all nodes and holds the configuration. Some nodes also act as relays:
+// they distribute the directory and the configuration to the other nodes of their data
+// centre.
 package node
 
 import (
@@ -38,32 +41,34 @@
 	Security             *transport.Security
 	Control              *controlclient.Client
 	StopTimeout          time.Duration
-	// Dialect names the header fields of callers and backend servers; nil means the
-	// project's own.
+	// Dialect defines the names of the header fields that callers and backend servers
+	// use; nil means the default names.
 	Dialect *hop.Dialect
-	// Service is the service of the backend server beside this node, if the settings
-	// name it; otherwise the backend server announces it.
+	// Service is the service of the backend server next to this node, or empty if the
+	// backend server announces its service itself.
 	Service string
-	// Backend is the address of the backend server, if the settings contain it. The
-	// node then queries it at startup instead of waiting for an announcement.
+	// Backend is the address of the backend server, or empty if unknown. If it is set,
+	// the node queries the backend server at startup instead of waiting for its
+	// announcement.
 	Backend string
-	// WatchControl makes the node watch control replicas, so that changes take effect
-	// within milliseconds; otherwise they arrive with the heartbeats.
+	// WatchControl makes the node watch control replicas, so that configuration changes
+	// take effect within milliseconds. Otherwise, the node receives them from its relay
+	// in the responses to its heartbeats.
 	WatchControl bool
-	// Retry limits the second attempts of all nodes; zero means the limits in the
-	// estate.
+	// Retry limits the retries that all nodes together send; zero means the limits in
+	// the estate.
 	Retry proxy.SharedRetryBudget
 	// Disabled is the set of decision mechanisms that are switched off.
 	Disabled mechanism.Set
 }
 
-// Node is the node of one host. Safe for concurrent use.
+// Node serves one host and its backend server. It is safe for concurrent use.
 type Node struct {
 	options     Options
 	start       time.Time
 	incarnation atomic.Uint64
-	// revision is the revision of records. Every call reads it without waiting for a
-	// heartbeat response to be applied.
+	// revision is the revision of records. It is atomic because every call reads it,
+	// and a call must not wait for mu while a heartbeat response is applied.
 	revision atomic.Uint64
 	proxy    *proxy.Handler
 	calls    *proxy.Counters
@@ -73,39 +78,43 @@
 	relay    *relay
 	peers    *peerClients
 	reports  *reports
-	// quarantine keeps requests that repeatedly crash servers away from the servers.
+	// quarantine holds the contents of requests that repeatedly crash servers, and
+	// keeps such requests away from the servers.
 	quarantine *quarantine.Tracker
-	// overload refuses requests while this process lacks processor time.
+	// overload refuses requests while this process does not get enough processor time.
 	overload *overload.Monitor
 	watcher  *watcher
 	front    *front.Server
 	callers  *requestCounter
 
-	mu          sync.Mutex
-	records     *rollout.Records
-	view        *directory.View
-	server      *server
-	endedStarts endedStarts
-	// hadServer is set once a backend server was announced since this node started.
+	mu             sync.Mutex
+	records        *rollout.Records
+	view           *directory.View
+	server         *server
+	endedProcesses endedProcesses
+	// hadServer is set when the first backend server is announced to this process, and
+	// stays set.
 	hadServer bool
 	disabled  mechanism.Set
 	sequence  uint64
-	// applyMu is held from reading the current state until it is fully applied.
-	// Otherwise, of two concurrent calls, the one that read first could write last, and
-	// an older configuration, or the end of a drain, would replace a newer one until
-	// the next change. It is locked before mu.
+	// applyMu is held from reading the current state until it is applied to the proxy
+	// and the gate. Without it, of two concurrent calls, the one that read the older
+	// state could apply it last: an older configuration or drain state would then stay
+	// in effect until the next change. applyMu is locked before mu.
 	applyMu sync.Mutex
-	// unready is set when a planned stop begins, stopping when its gate has closed.
+	// unready is set when a planned stop begins: callers should use another node.
+	// stopping is set later in the stop, when the gate closes.
 	unready, stopping bool
 	departed          bool
-	// evacuated is set while the operator has evacuated this node's data centre.
+	// evacuated is set while this node's data centre is evacuated by an operator.
 	evacuated bool
-	// requested holds services that callers asked for, in addition to the hosted one
-	// and those it depends on.
+	// requested holds the services that callers requested, in addition to the service
+	// of the local backend server and those that it depends on.
 	requested map[string]bool
 	// changed is closed and replaced when records or view change.
 	changed chan struct{}
-	// confirmed is set if the configuration came from a relay that a leader confirmed.
+	// confirmed is set if a leader of the control replicas recently confirmed to the
+	// source of the configuration that it is the newest.
 	confirmed bool
 }
 
@@ -205,7 +214,8 @@
 	idleTimeout   = 2 * time.Minute
 )
 
-// InFlight returns the number of requests that are running or queued at the local gate.
+// InFlight returns the number of requests that the local backend server is running or
+// that wait at its gate.
 func (n *Node) InFlight() int {
 	if e := n.currentEndpoint(); e != nil {
 		return e.InFlight()
@@ -216,15 +226,17 @@
 // Revision returns the newest configuration revision that this node holds.
 func (n *Node) Revision() uint64 { return n.revision.Load() }
 
-// observeRevision handles a revision that another node mentioned: a node that missed a
-// change fetches it immediately.
+// observeRevision is called with the configuration revision that another node uses. If
+// it is newer than the revision of this node, the node fetches the change immediately
+// instead of with the next heartbeat.
 func (n *Node) observeRevision(revision uint64) {
 	if revision > n.Revision() && !n.options.WatchControl {
 		n.member.requestSync()
 	}
 }
 
-// service returns the service of the backend server beside this node.
+// service returns the service of the backend server next to this node, or "" if it is
+// unknown.
 func (n *Node) service() string {
 	if n.options.Service != "" {
 		return n.options.Service
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -17,7 +17,8 @@
 	"cactuspath/internal/transport"
 )
 
-// peerClients caches one control client per peer. Safe for concurrent use.
+// peerClients caches one RPC client for control calls per peer address. It is safe for
+// concurrent use.
 type peerClients struct {
 	security *transport.Security
 	client   *http.Client
@@ -87,9 +88,10 @@
 	return connect.NewResponse(resp), nil
 }
 
-// Probe answers for this node, or probes another one on a relay's behalf. A probe is
-// forwarded only once: if another host has taken over an address, a probe of its former
-// host would otherwise loop forever and use up all connections.
+// Probe responds if the request names this node, and otherwise probes the named node on
+// behalf of the relay that sent the request. A probe is forwarded only once. Without
+// this limit, a probe of a host whose address another host has taken over would be
+// forwarded by that host to itself forever and use up all connections.
 func (s nodeService) Probe(ctx context.Context, req *connect.Request[apiv1.ProbeRequest]) (*connect.Response[apiv1.ProbeResponse], error) {
 	n := s.n
 	if req.Msg.Host != n.options.Host && !req.Msg.Direct {
@@ -101,7 +103,9 @@
 	return connect.NewResponse(&apiv1.ProbeResponse{Host: n.options.Host, Incarnation: n.incarnation.Load(), Sequence: n.sequence}), nil
 }
 
-// Revoke answers for an attempt whose response was lost.
+// Revoke reports whether an attempt whose response was lost was started on the backend
+// server, and cancels it if it was not. If this process has no gate or is not the one
+// that received the attempt, the answer is that this is unknown.
 func (s nodeService) Revoke(_ context.Context, req *connect.Request[apiv1.RevokeRequest]) (*connect.Response[apiv1.RevokeResponse], error) {
 	m := req.Msg
 	e := s.n.currentEndpoint()
@@ -113,13 +117,14 @@
 	return connect.NewResponse(&apiv1.RevokeResponse{Answer: apiv1.RevokeAnswer(answer)}), nil
 }
 
-// alive reports whether the node at an address answers a probe.
+// alive reports whether the node at an address responds to a probe.
 func (n *Node) alive(ctx context.Context, peerAddress string) bool {
 	_, err := n.peers.at(peerAddress).Probe(ctx, connect.NewRequest(&apiv1.ProbeRequest{Host: n.options.Host, PeerAddress: peerAddress, Direct: true}))
 	return err == nil
 }
 
-// revoke asks a node for the state of an attempt.
+// revoke asks the node at an address whether it started an attempt that was sent to it
+// sentAgo.
 func (n *Node) revoke(ctx context.Context, peerAddress string, incarnation uint64, id gate.AttemptID, sentAgo time.Duration) gate.RevokeAnswer {
 	resp, err := n.peers.at(peerAddress).Revoke(ctx, connect.NewRequest(&apiv1.RevokeRequest{
 		RequestHigh: id.Request[0], RequestLow: id.Request[1], Attempt: id.Attempt, Incarnation: incarnation, SentAgoUs: uint64(sentAgo.Microseconds())}))
--- a/internal/node/probe_test.go
+++ b/internal/node/probe_test.go
@@ -15,10 +15,11 @@
 	"cactuspath/api/cactuspath/v1/apiv1connect"
 )
 
-// Guards against an endless loop of probes: a host is gone and another one has its
-// address. A relay that does not know this yet has the former host probed there through
-// a helper. The new host must answer with its own name. If it forwarded the probe to
-// the same address, it would call itself until connections and memory are used up.
+// Guards against an endless loop of probes. A host has taken over the address of a
+// former host, and a relay that does not know this yet asks a third node to probe the
+// former host at that address. The new host must respond with its own name. If it
+// forwarded the probe to the same address, it would call itself until connections and
+// memory are used up.
 func TestProbeForFormerHostDoesNotLoop(t *testing.T) {
 	n := newTestNode(t, "")
 	var calls atomic.Int64
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -15,12 +15,13 @@
 const (
 	relayTickInterval = directory.HeartbeatInterval / 2
 	// startupTickInterval is the tick interval while the relay does not know enough
-	// to answer yet: after a full restart all requests wait for that.
+	// entries to respond. It is short because after a restart of all nodes every
+	// request waits until the relays respond.
 	startupTickInterval = directory.StartupInterval
 )
 
-// relay is the relay role of this node, active if it was chosen. Safe for concurrent
-// use.
+// relay implements the relay role of this node. It does nothing until the node is told
+// to become a relay. It is safe for concurrent use.
 type relay struct {
 	n *Node
 
@@ -29,9 +30,10 @@
 	records   *rollout.Records
 	allRelays []*apiv1.RelayInfo
 	confirmed time.Time
-	// relaysWanted is the number of nodes that have yet to become relays.
+	// relaysWanted is the number of nodes that this relay still has to turn into
+	// relays, as requested by the leader of the control replicas.
 	relaysWanted uint32
-	// ready is set if the relay was ready at the last tick.
+	// ready is set if the relay knew enough entries to respond at the last tick.
 	ready      bool
 	inProgress map[string]bool
 	// changed is closed and replaced when there are updates to send.
@@ -73,7 +75,8 @@
 	klog.InfoS("Ceased to be a relay", "host", r.n.options.Host, "dataCenter", r.n.options.DataCenter)
 }
 
-// run ticks while this node is a relay.
+// run calls tick periodically while this node is a relay, and exchanges state with the
+// leader of the control replicas.
 func (r *relay) run(ctx context.Context) {
 	syncDue := true
 	for {
@@ -107,7 +110,8 @@
 	return relayTickInterval, true
 }
 
-// signalChange wakes the calls whose responses are held. The caller holds the lock.
+// signalChange wakes the calls that hold their responses until there are updates. The
+// caller holds the lock.
 func (r *relay) signalChange() {
 	close(r.changed)
 	r.changed = make(chan struct{})
--- a/internal/node/relaycontrol.go
+++ b/internal/node/relaycontrol.go
@@ -16,7 +16,8 @@
 // maxReportedNodes limits the number of nodes that a relay names in its report.
 const maxReportedNodes = 64
 
-// syncControl reports to the leader and applies the changes that it returns.
+// syncControl sends the report of this relay to the leader of the control replicas, and
+// applies the configuration changes and the list of relays in the response.
 func (r *relay) syncControl(ctx context.Context) {
 	if !r.tryBegin("control") {
 		return
--- a/internal/node/relaypulls.go
+++ b/internal/node/relaypulls.go
@@ -13,14 +13,15 @@
 // Calls to other nodes and relays that the directory requests: probes and pulls.
 
 const (
-	// pullHold is how long another relay may hold its response while it has no updates,
-	// so that updates spread without delay and the number of messages does not grow.
+	// pullHold is how long another relay may hold its response while it has no updates.
+	// The hold lets updates spread without delay and without more frequent polling.
 	pullHold     = 900 * time.Millisecond
 	pullTimeout  = 2 * time.Second
 	probeTimeout = time.Second
 )
 
-// tryBegin ensures that at most one exchange with each peer is in progress.
+// tryBegin marks the exchange with the given peer as in progress. It returns false if
+// one is already in progress.
 func (r *relay) tryBegin(key string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -37,7 +38,8 @@
 	delete(r.inProgress, key)
 }
 
-// tick performs the work that the directory requests.
+// tick advances the state of the directory and starts the probes and pulls that it
+// requests.
 func (r *relay) tick(ctx context.Context) {
 	r.mu.Lock()
 	if r.state == nil {
@@ -77,7 +79,7 @@
 	}
 }
 
-// pull fetches updates from another relay, repeatedly as long as there are some.
+// pull fetches updates from another relay until there are none.
 func (r *relay) pull(ctx context.Context, p directory.Pull) {
 	defer r.finish(p.Relay.Host)
 	for more := true; more && ctx.Err() == nil; {
--- a/internal/node/relaysearch.go
+++ b/internal/node/relaysearch.go
@@ -15,7 +15,8 @@
 // The choice of the relay to which this node reports.
 
 const (
-	// relayAvoidPeriod is how long a relay that did not respond is not tried again.
+	// relayAvoidPeriod is how long a node does not try a relay again that failed to
+	// respond.
 	relayAvoidPeriod = 5 * time.Second
 	// minSearchBackoff and maxSearchBackoff limit the backoff between searches for a
 	// relay, so that the nodes of a data centre that restarts as a whole do not
@@ -24,7 +25,9 @@
 	maxSearchBackoff = 5 * time.Second
 )
 
-// rankRelays ranks the relays for this node, without those that failed recently.
+// rankRelays returns the relays that did not fail recently, in the order in which this
+// node tries them. Rendezvous hashing gives each node its own order, which spreads the
+// nodes over the relays.
 func (m *member) rankRelays() []*apiv1.RelayInfo {
 	byHost := map[string]*apiv1.RelayInfo{}
 	var hosts []string
@@ -41,7 +44,8 @@
 	return list
 }
 
-// findRelays asks the control replicas for relays.
+// findRelays asks the control replicas for relays. It returns how long to wait before
+// the next round.
 func (m *member) findRelays(ctx context.Context) time.Duration {
 	req := &apiv1.FindRelaysRequest{Host: m.n.options.Host, DataCenter: m.n.options.DataCenter, Region: m.n.options.Region, PeerAddress: m.n.options.PeerAddress}
 	for host, until := range m.unreachableUntil {
--- a/internal/node/relayserver.go
+++ b/internal/node/relayserver.go
@@ -14,8 +14,9 @@
 
 var errNotRelay = errors.New("this node is not a relay; ask another relay or the control replicas")
 
-// sync handles a node's heartbeat. The response is held until there are updates for the
-// node, so that it learns of a change without delay.
+// sync handles a node's heartbeat. It holds the response until there are updates for
+// the node or the requested hold ends, so that the node receives a change without
+// delay.
 func (r *relay) sync(ctx context.Context, req *apiv1.NodeSyncRequest) *apiv1.NodeSyncResponse {
 	deadline := time.Now().Add(min(maxSyncHold, time.Duration(req.HoldMs)*time.Millisecond))
 	for {
@@ -26,12 +27,13 @@
 	}
 }
 
-// maxSyncHold limits the hold that a node may request.
+// maxSyncHold is the longest time for which a node may ask the relay to hold a
+// response.
 const maxSyncHold = 5 * time.Second
 
-// refreshRelayList triggers an immediate fetch of the list of relays: an unknown relay
-// asked for updates, and has nodes of its own that only it can report. The caller holds
-// the lock.
+// refreshRelayList triggers an immediate fetch of the list of relays. It is called when
+// an unknown relay asks for updates: this relay has to pull from the unknown one, which
+// alone knows the state of the nodes that report to it. The caller holds the lock.
 func (r *relay) refreshRelayList() {
 	select {
 	case r.wake <- struct{}{}:
@@ -39,7 +41,8 @@
 	}
 }
 
-// waitForChange waits for an update; false means that the hold has ended.
+// waitForChange waits until changed is closed. It returns false if the deadline passes
+// or ctx ends first.
 func waitForChange(ctx context.Context, changed <-chan struct{}, deadline time.Time) bool {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
@@ -52,7 +55,8 @@
 	return false
 }
 
-// hasUpdates reports whether a response contains updates for the node.
+// hasUpdates reports whether a response contains something that the node does not have
+// yet, so that it must not be held.
 func hasUpdates(req *apiv1.NodeSyncRequest, resp *apiv1.NodeSyncResponse) bool {
 	refute := resp.Believed == apiv1.EndpointState_ENDPOINT_STATE_FAILED || resp.BelievedIncarnation > req.Report.Incarnation ||
 		resp.BelievedIncarnation == req.Report.Incarnation && resp.BelievedSequence > req.Report.Sequence
@@ -94,8 +98,9 @@
 	return resp
 }
 
-// shouldPromote reports whether a node is to become a relay: the first reporting node
-// that is not a relay yet, while the leader asks for more.
+// shouldPromote reports whether a node that has just sent a heartbeat is to become a
+// relay: it is not one yet, and the leader has requested more relays. It decrements
+// relaysWanted if so.
 func (r *relay) shouldPromote(host string, relays []*apiv1.RelayInfo) bool {
 	if r.relaysWanted == 0 {
 		return false
@@ -109,8 +114,8 @@
 	return true
 }
 
-// exchange handles a call of another relay, and holds the response until there are
-// updates.
+// exchange handles a pull of another relay. It holds the response until there are
+// updates or the requested hold ends.
 func (r *relay) exchange(ctx context.Context, req *apiv1.ExchangeRequest) (*apiv1.ExchangeResponse, error) {
 	deadline := time.Now().Add(min(maxSyncHold, time.Duration(req.HoldMs)*time.Millisecond))
 	for {
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -21,9 +21,9 @@
 	perMille = 1000
 )
 
-// reports carries load reports between gates, one datagram each, and the messages with
-// which nodes tell each other of servers that crashed. A lost message is made up for
-// by the next. Safe for concurrent use.
+// reports sends and receives UDP datagrams between nodes: load reports of gates, and
+// messages about servers that crashed. No datagram is retransmitted, because a later
+// one contains the information of a lost one. It is safe for concurrent use.
 type reports struct {
 	n *Node
 
@@ -64,7 +64,7 @@
 // sendQuarantine sends another node a message about servers that crashed.
 func (r *reports) sendQuarantine(host string, datagram []byte) {
 	if address := r.addressOf(host); address != nil {
-		// A lost message is made up for by a later comparison.
+		// The error is ignored: nodes compare their information again later.
 		_, _ = r.n.options.Reports.WriteTo(datagram, address)
 	}
 }
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -17,15 +17,17 @@
 )
 
 const (
-	// serverLease is how long an announcement is valid without renewal.
+	// serverLease is the lease of a registration: how long it is valid after the last
+	// announcement.
 	serverLease        = 10 * time.Second
 	leaseCheckInterval = time.Second
-	// predecessorWindow is the maximum age of a process that is assumed to follow one
-	// whose last starts still count against a cold server's limit.
+	// If a backend server is registered within predecessorWindow after the start of
+	// this process, the gate assumes that the previous process of the node has just
+	// sent requests to the server. They count towards the limit of a cold server.
 	predecessorWindow = 2 * time.Second
 )
 
-// server is the announced backend server with its gate.
+// server is the registered backend server and the endpoint that contains its gate.
 type server struct {
 	service  string
 	address  string
@@ -42,8 +44,8 @@
 
 var errServiceMismatch = errors.New("this node serves a backend server of another service; withdraw that one first, or run one node for each")
 
-// Ready reports whether callers may be sent to this node: it has a configuration and no
-// planned stop has begun.
+// Ready reports whether callers may send requests to this node: it has a configuration
+// and no planned stop has begun.
 func (n *Node) Ready() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -51,9 +53,9 @@
 }
 
 // newServer creates the server described by an announcement. The caller holds the lock.
-// The gate is given its slots before any other node can learn of the server: a
-// heartbeat sent between the two steps brought requests to a gate without slots, which
-// refused them all as full.
+// The gate gets its slots before any other node can learn of the server. A heartbeat
+// sent between these two steps would bring requests to a gate without slots, which
+// refuses all of them as full.
 func (n *Node) newServer(a Announcement) *server {
 	config := gate.Config{}
 	if spec, slots := n.specAndSlots(a.Service, a.Slots); slots > 0 {
@@ -72,8 +74,9 @@
 	return &server{service: a.Service, endpoint: e}
 }
 
-// specAndSlots returns the specification of a service, or a default, and the number of
-// slots of a backend server that may have announced one. The caller holds the lock.
+// specAndSlots returns the specification of a service, or a default if it is not
+// configured, and the number of slots of its backend server: the announced number or,
+// if that is 0, the configured one. The caller holds the lock.
 func (n *Node) specAndSlots(service string, announced uint32) (*apiv1.ServiceSpec, uint32) {
 	spec := n.records.Service(service).GetSpec()
 	slots := spec.GetSlots()
@@ -81,10 +84,10 @@
 		slots = announced
 	}
 	if spec == nil {
-		// Other nodes may already have the configuration and send requests here: the
-		// announcement of the server suffices to run them. Its capacity while it is
-		// cold is unknown: one request a second for each slot is less than any server
-		// can run.
+		// Other nodes may already have the configuration and send requests here, and
+		// the announcement of the server suffices to run them. The rate that the server
+		// can handle while it is cold is unknown; one request per second and slot is
+		// less than any server can handle.
 		spec = &apiv1.ServiceSpec{Queue: slots, ColdRequestsPerSecond: slots}
 	}
 	return spec, slots
@@ -102,7 +105,7 @@
 	}
 }
 
-// withdraw ends an announcement.
+// withdraw ends the registration of the backend server.
 func (n *Node) withdraw(why string) {
 	n.mu.Lock()
 	s := n.server
@@ -112,7 +115,7 @@
 	}
 	n.server = nil
 	if s.instance != "" {
-		n.endedStarts.add(s.instance, s.startedAt)
+		n.endedProcesses.add(s.instance, s.startedAt)
 	}
 	n.sequence++
 	n.mu.Unlock()
@@ -131,7 +134,8 @@
 	e.Close()
 }
 
-// watchServer withdraws an announcement that is not renewed.
+// watchServer ends the registration of a backend server that has not renewed it within
+// the lease.
 func (n *Node) watchServer(ctx context.Context) {
 	ticker := time.NewTicker(leaseCheckInterval)
 	defer ticker.Stop()
@@ -165,7 +169,8 @@
 	return n.server.endpoint
 }
 
-// Endpoint returns the local endpoint if it serves the service.
+// Endpoint returns the local endpoint if its backend server runs the service, and nil
+// otherwise.
 func (n *Node) Endpoint(service string) *endpoint.Endpoint {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -186,8 +191,8 @@
 	s := n.server
 	n.mu.Unlock()
 	if revision > 0 {
-		// Without a configuration every request would be answered with "no route",
-		// which its caller treats as final.
+		// An empty configuration is not applied: every request would be answered with
+		// "no route", after which callers do not retry.
 		n.proxy.Configure(records, routes)
 		n.front.SetLimits(frontLimits(limits))
 	}
@@ -219,8 +224,8 @@
 	return out
 }
 
-// evacuatedDataCenters returns a function that reports whether a data centre is
-// evacuated, as of the time of the call.
+// evacuatedDataCenters returns a function that reports whether a data centre was
+// evacuated at the time of the call to evacuatedDataCenters.
 func (n *Node) evacuatedDataCenters() func(dataCenter string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -231,7 +236,8 @@
 	return func(dataCenter string) bool { return evacuated[dataCenter] }
 }
 
-// Assumed one-way delays, used until a connection was measured.
+// One-way network delays that are assumed until a delay has been measured on a
+// connection.
 const (
 	sameHostDelay       = 50 * time.Microsecond
 	sameDataCenterDelay = 250 * time.Microsecond
@@ -267,7 +273,8 @@
 	s.endpoint.SetSiblings(n.siblings(entries))
 }
 
-// siblings lists the other gates of the service to which requests may be sent.
+// siblings returns the gates of other hosts for the same service to which requests may
+// be sent.
 func (n *Node) siblings(entries []*apiv1.Entry) []gate.Sibling {
 	evacuated := n.evacuatedDataCenters()
 	list := make([]gate.Sibling, 0, len(entries))
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -10,24 +10,25 @@
 	"cactuspath/core/directory"
 )
 
-// The planned stop: the node accepts no new work, lets requests in flight finish,
-// notifies the directory, and for a while answers callers that have not heard of it.
+// In a planned stop, the node accepts no new requests, lets those in flight finish and
+// notifies the directory. It then still responds for a while, for peers and callers
+// that do not know yet that it is stopping.
 
 const (
 	drainPollInterval = 20 * time.Millisecond
-	// preDrainDelay is how long a stopping node still sends work to its backend server.
-	// Its own callers take about two seconds to see that it is not ready, and the
-	// process has to wait for them; a gate that closed immediately would take the
-	// backend server out of its service for all of that time.
+	// preDrainDelay is how long a stopping node keeps its gate open. The process has to
+	// run for about two more seconds anyway, until its callers see that it is not
+	// ready. Closing the gate immediately would leave the backend server unused for all
+	// of that time.
 	preDrainDelay = time.Second
-	// lingerDuration is how long a node responds after its gate has closed: by then the
-	// directory has informed all nodes. Closing a connection on which a request was
-	// just sent would leave the outcome unknown, while a refused request is sent
-	// elsewhere.
+	// lingerDuration is how long a node keeps responding after its gate has closed. By
+	// the end of it, all nodes know from the directory that the gate is closed. A
+	// request that is refused in the meantime is sent to another node; if the
+	// connection were closed instead, its outcome would be unknown.
 	lingerDuration = 2 * time.Second
-	// departureLinger is how long a node responds after it told the directory that it
-	// is gone. Nodes that use it as their relay ask once a heartbeat, and learn then to
-	// use another one.
+	// departureLinger is how long a node keeps responding after it has told the
+	// directory that it has left. Nodes that use it as their relay send a heartbeat in
+	// this time, and learn from the response that they need another relay.
 	departureLinger = directory.HeartbeatInterval
 )
 
@@ -62,8 +63,8 @@
 	return cutErr
 }
 
-// keepServing lets the gate continue for preDrainDelay, unless its backend server is
-// leaving or gone.
+// keepServing keeps the gate open for preDrainDelay, or until its backend server is
+// draining or withdrawn.
 func (n *Node) keepServing(ctx context.Context) {
 	for deadline := time.Now().Add(preDrainDelay); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(drainPollInterval) {
 		n.mu.Lock()
@@ -76,8 +77,8 @@
 }
 
 // waitDrained waits until no request is running or queued at the gate. It does not wait
-// for callers' requests that this node sends elsewhere: new ones may arrive until the
-// listeners close, which lets those in progress finish.
+// for callers' requests that this node sends to other nodes: new ones may arrive until
+// the listeners are shut down, and the shutdown waits for those in progress.
 func (n *Node) waitDrained(ctx context.Context) {
 	for n.InFlight() > 0 && ctx.Err() == nil {
 		time.Sleep(drainPollInterval)
--- a/internal/node/subscription.go
+++ b/internal/node/subscription.go
@@ -6,11 +6,12 @@
 	"slices"
 )
 
-// The services whose endpoints this node follows.
+// A node receives directory entries only for the services that it subscribes to.
 
-// awaitService waits until a relay has answered for a service that this node did not
-// know. It returns immediately for a service that a relay has answered for, whatever
-// the answer was: a service without endpoints must not delay its callers.
+// awaitService subscribes to a service that this node does not know and waits until a
+// relay has responded for it. It returns immediately if a relay has responded before,
+// even if the service has no endpoints, because requests for such a service must fail
+// without delay.
 func (n *Node) awaitService(ctx context.Context, service string) error {
 	for {
 		n.mu.Lock()
@@ -33,9 +34,10 @@
 	}
 }
 
-// maxPrefetched is the largest number of services with routes that a node subscribes to
-// in advance, so that no first request waits for a round trip to a relay. In a fleet of
-// hundreds of services a node subscribes only to those that are called.
+// maxPrefetched is the number of services up to which a node subscribes in advance to
+// all services with routes, so that the first request for a service does not wait for a
+// round trip to a relay. If there are more, as in a fleet with hundreds of services,
+// the node subscribes only to those that are called.
 const maxPrefetched = 64
 
 // subscribedServices lists the services for which this node needs all entries and the
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -15,25 +15,28 @@
 )
 
 const (
-	// watchedReplicas is the number of control replicas that a node watches at once:
-	// with one, the loss of that replica would delay a change by the time needed to
-	// detect it.
+	// watchedReplicas is the number of control replicas that a node watches at the same
+	// time. If it watched only one and lost it, the next change would be delayed until
+	// the loss is detected.
 	watchedReplicas = 2
-	// watchHold is how long a replica may hold a watch without updates. It limits the
-	// time needed to detect a silent link.
+	// watchHold is how long a replica may hold the response to a watch while there are
+	// no updates. A shorter hold detects a broken connection earlier.
 	watchHold = 800 * time.Millisecond
-	// watchTimeoutMargin is added to the hold before a watch is considered lost: a few
-	// round trips on a busy host.
+	// watchTimeoutMargin is the time after the hold in which the response must arrive.
+	// It allows for a few round trips on a busy host.
 	watchTimeoutMargin = 500 * time.Millisecond
 	// minWatchBackoff and maxWatchBackoff limit the backoff between tries while no
-	// replica is usable. With two of five replicas cut off, three tries of two watches
-	// find one that is not; at 0.6 s each at most they fit into the two seconds in
-	// which a change has to take effect. The 512 watchers that a replica may have then
-	// send it 1,300 requests a second.
+	// replica is usable. A change has to take effect within two seconds. If two of five
+	// replicas are partitioned from the others, the two watches of a node find a usable
+	// replica in at most three tries. A try is delayed by at most 0.6 s, one and a half
+	// times the maximum backoff, so three tries take less than two seconds. In the
+	// meantime, the 512 watchers that a replica may have send it 1,300 requests per
+	// second.
 	minWatchBackoff = 100 * time.Millisecond
 	maxWatchBackoff = 400 * time.Millisecond
-	// noRelayHold is the hold of a node that has no answer from a relay and waits for
-	// entries of other nodes.
+	// noRelayHold replaces watchHold while no relay responds to the node. The hold is
+	// short because the node gets the entries of other nodes from these responses, and
+	// a new entry does not end the hold.
 	noRelayHold = 50 * time.Millisecond
 	// announceCheckInterval is how often a node checks whether it has something to
 	// announce, and announceInterval how often it repeats its announcement.
@@ -44,8 +47,9 @@
 	fullReplicaPause = time.Minute
 )
 
-// watcher watches the control replicas, so that a change is known within a few round
-// trips of its acknowledgement. Safe for concurrent use.
+// watcher receives configuration changes from the control replicas by long polling, so
+// that the node has a change within a few round trips after it was acknowledged. It is
+// safe for concurrent use.
 type watcher struct {
 	n *Node
 
@@ -54,7 +58,8 @@
 	replicas []string
 	// watched holds the addresses that are being watched.
 	watched map[string]bool
-	// cursors holds how far each replica has reported other nodes.
+	// cursors holds, by replica address, the position up to which this node has
+	// received the replica's entries of other nodes.
 	cursors map[string]*apiv1.ClaimCursor
 	// lastFailure is when each replica was last found unusable.
 	lastFailure map[string]time.Time
@@ -97,9 +102,10 @@
 	}
 }
 
-// pickReplica picks a replica that is not watched yet: the one whose last failure is
-// the longest ago, and at random among those that never failed. A replica that is cut
-// off with a minority responds every time, but is never usable.
+// pickReplica picks a replica that is not watched yet: a random one of those that never
+// failed or, if there is none, the one that failed longest ago. Choosing at random each
+// time could return to a replica that responds but is not usable, because a partition
+// separates it from the majority.
 func (w *watcher) pickReplica() string {
 	candidates := w.addresses()
 	rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
@@ -114,7 +120,7 @@
 	return oldest
 }
 
-// release stops using a replica that is no longer usable.
+// release marks a replica as no longer watched and records the time of its failure.
 func (w *watcher) release(address string, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -122,8 +128,8 @@
 	w.lastFailure[address] = now
 }
 
-// watchReplica watches a replica until it fails or loses its leader, and reports
-// whether the replica was usable.
+// watchReplica polls a replica until a call fails or the replica reports that it has
+// lost contact with the leader. It reports whether the replica was usable before.
 func (w *watcher) watchReplica(ctx context.Context, address string) (useful bool) {
 	for ctx.Err() == nil {
 		resp, err := w.poll(ctx, address)
@@ -163,7 +169,8 @@
 	return resp.Msg, nil
 }
 
-// storeCursor stores how far a replica has reported other nodes.
+// storeCursor stores the position up to which this node has received the replica's
+// entries of other nodes.
 func (w *watcher) storeCursor(address string, cursor *apiv1.ClaimCursor) {
 	if cursor == nil {
 		return
@@ -173,9 +180,9 @@
 	w.cursors[address] = cursor
 }
 
-// cursorFor returns how far the replica has reported other nodes. The cursors are
-// dropped while a relay responds: the relay's response replaces what the replicas
-// reported, so a node that loses its relay has to fetch everything again.
+// cursorFor returns the cursor to send to a replica. If a relay responds to this node,
+// it first drops all cursors: the relay's response replaces the entries from the
+// replicas, so a node that loses its relay later has to fetch all entries again.
 func (w *watcher) cursorFor(address string, noRelay bool) *apiv1.ClaimCursor {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -197,9 +204,9 @@
 	return &apiv1.WatchRequest{Host: n.options.Host, Revision: n.Revision(), HoldMs: uint32(hold.Milliseconds()), Entry: n.entry(""), WantEntries: noRelay, Heard: w.cursorFor(address, noRelay)}
 }
 
-// announce sends this node's entry to every control replica, at startup and when the
-// entry changes, so that a node that starts at the same time finds it whichever replica
-// it watches.
+// announce sends this node's entry to every control replica at startup, after each
+// change of the entry and every announceInterval. A node that starts at the same time
+// and has no relay yet then receives the entry from any replica that it watches.
 func (w *watcher) announce(ctx context.Context) {
 	if !w.n.options.WatchControl {
 		return
@@ -243,8 +250,8 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, watchTimeoutMargin)
 			defer cancel()
-			// The error is ignored: a replica that does not respond gets the next
-			// announcement.
+			// The error is ignored: the next announcement is sent to all replicas
+			// again.
 			_, _ = w.n.options.Control.At(address).Control.Announce(ctx, connect.NewRequest(&apiv1.AnnounceRequest{Entry: entry}))
 		}()
 	}
@@ -279,7 +286,8 @@
 	w.n.options.Control.SetDiscovered(replicas)
 }
 
-// logStatus logs when the control replicas are lost and when they are back.
+// logStatus logs when no control replica is usable any more, and when one is usable
+// again.
 func (w *watcher) logStatus(address string, connected bool, err error) {
 	w.mu.Lock()
 	changed := w.disconnected == connected
@@ -313,7 +321,9 @@
 	}
 }
 
-// applyProvisional applies entries that no relay vouches for, while no relay responds.
+// applyProvisional applies entries of other nodes that a control replica sent. They are
+// used only until a relay responds, because the replicas do not check whether the nodes
+// still run.
 func (n *Node) applyProvisional(entries []*apiv1.Entry) {
 	if len(entries) == 0 {
 		return
@@ -330,7 +340,8 @@
 	}
 }
 
-// publishRevision publishes the revision after an Apply. The caller holds the lock.
+// publishRevision makes the revision of the records visible to Revision and logs it if
+// it is newer than before. The caller holds the lock.
 func (n *Node) publishRevision(before uint64, confirmed bool, from string) {
 	now := n.records.Revision()
 	n.revision.Store(now)
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -17,7 +17,8 @@
 	"cactuspath/internal/controlclient"
 )
 
-// fakeReplica is a control replica that has no leader, or serves one revision.
+// fakeReplica is a control replica that either reports that it has no leader or returns
+// one revision.
 type fakeReplica struct {
 	apiv1connect.UnimplementedControlServiceHandler
 	hasLeader *atomic.Bool
@@ -36,12 +37,12 @@
 	return connect.NewResponse(&apiv1.WatchResponse{Delta: routeDelta(1, "/a/")}), nil
 }
 
-// Guards against nodes that use an old configuration after a time without a leader: the
-// control replicas are partitioned, with two of five on the side without a majority,
-// and for two seconds there is no leader. All of them respond throughout. Once the
-// others have a leader again and accept a change, every node must have it within the
-// time promised to operators, even if it had backed off or returns to the two replicas
-// that are cut off.
+// Guards against nodes that keep an old configuration for too long after a network
+// partition. Two of five control replicas are separated from the majority, and for two
+// seconds no replica has a leader, although all respond to the nodes. Once the other
+// three elect a leader and accept a change, every node must receive it within the time
+// promised to operators, even if its backoff has reached the maximum or its next try
+// reaches one of the two separated replicas.
 func TestNodesAreSoonBackAfterATimeWithoutALeader(t *testing.T) {
 	const (
 		nodes = 12
