--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -1,6 +1,7 @@
 // Package controlclient calls the leader of the control replicas: it tries the known
-// addresses in turn, follows the leader's address when a replica returns it, and backs
-// off between rounds. Nodes, relays and cactusctl use it.
+// addresses in turn, continues with the leader's address when a replica returns it, and
+// waits with increasing backoff after all addresses have failed. Nodes, relays and
+// cactusctl use it.
 package controlclient
 
 import (
@@ -20,15 +21,16 @@
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 2 * time.Second
-	// attemptTimeout limits one call, so that a hanging replica does not use up the
-	// whole timeout.
+	// attemptTimeout limits the call to one replica, so that a replica that does not
+	// respond leaves time to try others.
 	attemptTimeout = 2 * time.Second
 )
 
 // ErrUnreachable is returned if no control replica could be reached.
 var ErrUnreachable = errors.New("no control replica answered; check the addresses and that a majority of the replicas runs")
 
-// Replica holds the clients for one control replica.
+// Replica holds the address of one control replica and an RPC client for each of its
+// services.
 type Replica struct {
 	Address string
 	Log     apiv1connect.ReplicaServiceClient
@@ -86,15 +88,16 @@
 	c.addresses = addresses
 }
 
-// SetDiscovered stores the addresses of all replicas, as returned by one of them: the
-// configured ones may all have been replaced since.
+// SetDiscovered stores the addresses of all replicas, as returned by one of them. They
+// are used in addition to the configured ones, because all configured replicas may have
+// been replaced in the meantime.
 func (c *Client) SetDiscovered(addresses []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.discovered = addresses
 }
 
-// At returns the clients for one address.
+// At returns the clients for the replica at an address, without looking for the leader.
 func (c *Client) At(address string) *Replica {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,8 +116,9 @@
 	return r
 }
 
-// Call calls the last known leader, or the first replica that responds. It follows one
-// hint per address and returns the last error.
+// Call runs call with the last known leader. After a retryable error, it tries the
+// leader that the response names, if any, and then the other addresses, each once,
+// until a call succeeds. If none does, it returns the last error.
 func (c *Client) Call(ctx context.Context, call func(context.Context, *Replica) error) error {
 	tried := map[string]bool{}
 	queue := c.candidateAddresses()
@@ -147,8 +151,8 @@
 	return lastErr
 }
 
-// retryable reports whether another replica, or the same one later, may answer the
-// call.
+// retryable reports whether a call that failed with this kind of error may succeed at
+// another replica, or at the same one later.
 func retryable(kind fault.Kind) bool {
 	return kind == fault.NotLeader || kind == fault.Unavailable
 }
