--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,5 @@
 // Package operator runs operators' commands and queries against the control replicas.
-// It is the library behind cactusctl and the tour.
+// cactusctl and the project's demonstration, the tour, use it.
 package operator
 
 import (
@@ -20,13 +20,14 @@
 // Client calls the control replicas on an operator's behalf.
 type Client struct {
 	Control *controlclient.Client
-	// Name is the operator's name, used where the replicas do not derive it from a
-	// token.
+	// Name is the operator's name. The replicas use it only if no operators are
+	// configured; otherwise the token identifies the operator.
 	Name string
 }
 
-// NewChangeID returns an id for a change. Resending a change with the same id returns
-// the first result, so keep the id if an outcome is unknown.
+// NewChangeID returns a unique id for a change. If the outcome of a change is unknown,
+// send it again with the same id: it is applied at most once, and the response is the
+// result of the first time.
 func NewChangeID() string { return ulid.Make().String() }
 
 // Exit codes of cactusctl, for scripts.
@@ -40,7 +41,8 @@
 	ExitUnreachable = 6
 )
 
-// OutcomeError is the error of a command that did not succeed, with its exit code.
+// OutcomeError is the error of a command that did not succeed. It holds the exit code
+// of cactusctl and a message for the operator.
 type OutcomeError struct {
 	Code    int
 	Message string
@@ -49,7 +51,7 @@
 // Error returns the message for the operator.
 func (e *OutcomeError) Error() string { return e.Message }
 
-// ExitCode returns the exit code for an error.
+// ExitCode returns the exit code of cactusctl for a command that returned err.
 func ExitCode(err error) int {
 	var outcome *OutcomeError
 	switch {
@@ -74,7 +76,8 @@
 	})
 }
 
-// Drain announces a planned stop of a host, or cancels it. It resends as Submit does.
+// Drain announces a planned stop of a host, or cancels it if draining is false. Like
+// Submit, it resends the change until a response arrives or ctx ends.
 func (c *Client) Drain(ctx context.Context, host string, draining bool, changeID string) (*apiv1.AuditRecord, error) {
 	req := &apiv1.DrainRequest{ChangeId: changeID, Operator: c.Name, Host: host, Draining: draining}
 	return c.submitChange(ctx, changeID, func(ctx context.Context, r *controlclient.Replica) (*apiv1.AuditRecord, error) {
@@ -86,8 +89,8 @@
 	})
 }
 
-// Evacuate evacuates a data centre, or cancels its evacuation. It resends as Submit
-// does.
+// Evacuate evacuates a data centre, or cancels its evacuation if evacuated is false.
+// Like Submit, it resends the change until a response arrives or ctx ends.
 func (c *Client) Evacuate(ctx context.Context, dataCenter string, evacuated bool, changeID string) (*apiv1.AuditRecord, error) {
 	req := &apiv1.EvacuateRequest{ChangeId: changeID, Operator: c.Name, DataCenter: dataCenter, Evacuated: evacuated}
 	return c.submitChange(ctx, changeID, func(ctx context.Context, r *controlclient.Replica) (*apiv1.AuditRecord, error) {
@@ -99,7 +102,7 @@
 	})
 }
 
-// submitChange sends a change until it is decided or ctx ends.
+// submitChange sends a change repeatedly until it is accepted or rejected or ctx ends.
 func (c *Client) submitChange(ctx context.Context, changeID string, send func(context.Context, *controlclient.Replica) (*apiv1.AuditRecord, error)) (*apiv1.AuditRecord, error) {
 	var record *apiv1.AuditRecord
 	err := c.Control.CallWithRetry(ctx, func(ctx context.Context, r *controlclient.Replica) error {
@@ -115,8 +118,9 @@
 	return record, outcomeError(record)
 }
 
-// changeError distinguishes a change that may have been accepted from one that was not
-// sent or not allowed.
+// changeError converts the error of a change to an OutcomeError. The message says
+// whether the change may have been accepted: it cannot have been if it was not allowed
+// or there was no leader to receive it.
 func changeError(err error, changeID string) error {
 	switch kind, _ := fault.KindOf(err); kind {
 	case fault.Unauthorized, fault.Invalid:
@@ -182,7 +186,8 @@
 	return answer, nil
 }
 
-// Status returns a summary of the cluster.
+// Status returns the newest revision, the number of nodes on which it is in force, and
+// the state of hosts, data centres, relays and control replicas.
 func (c *Client) Status(ctx context.Context) (*apiv1.StatusResponse, error) {
 	return query(ctx, c, func(ctx context.Context, r *controlclient.Replica) (*connect.Response[apiv1.StatusResponse], error) {
 		return r.Query.Status(ctx, connect.NewRequest(&apiv1.StatusRequest{}))
@@ -196,7 +201,8 @@
 	})
 }
 
-// Audit returns the decided changes after a log index, or the one with the given id.
+// Audit returns up to limit audit records of decided changes that follow the log index
+// after or, if changeID is not empty, the record of that change.
 func (c *Client) Audit(ctx context.Context, after uint64, changeID string, limit uint32) ([]*apiv1.AuditRecord, error) {
 	resp, err := query(ctx, c, func(ctx context.Context, r *controlclient.Replica) (*connect.Response[apiv1.AuditResponse], error) {
 		return r.Query.Audit(ctx, connect.NewRequest(&apiv1.AuditRequest{AfterIndex: after, ChangeId: changeID, Limit: limit}))
@@ -209,8 +215,9 @@
 
 const pollInterval = 100 * time.Millisecond
 
-// WaitInForce polls until at least nodes nodes (and at least one) are known and the
-// revision is in force on all of them. A leader that was just elected knows of none.
+// WaitInForce polls until the leader knows at least the given number of nodes, and at
+// least one, and the revision is in force on all of them. The minimum is needed because
+// a leader that was just elected does not know any nodes yet.
 func (c *Client) WaitInForce(ctx context.Context, revision uint64, nodes int) (*apiv1.StatusResponse, error) {
 	for {
 		s, err := c.Status(ctx)
@@ -253,7 +260,7 @@
 	}
 }
 
-// OutcomeText returns the text for an outcome that is shown to operators.
+// OutcomeText returns the words that describe the outcome of a change to operators.
 func OutcomeText(o apiv1.Outcome) string {
 	switch o {
 	case apiv1.Outcome_OUTCOME_ACCEPTED:
--- a/internal/operator/replicas.go
+++ b/internal/operator/replicas.go
@@ -15,8 +15,8 @@
 
 const memberPollInterval = 200 * time.Millisecond
 
-// AddReplica admits the replica that waits at an address: first as a learner, then as a
-// voter once it has caught up.
+// AddReplica admits the replica that waits at an address to the control group: first as
+// a learner, and as a voter once it has caught up with the log.
 func (c *Client) AddReplica(ctx context.Context, address string) (*apiv1.Membership, error) {
 	waiting, err := c.waitingReplica(ctx, address)
 	if err != nil {
@@ -34,8 +34,8 @@
 }
 
 // ReplaceReplica admits the replica that waits at an address and then removes the lost
-// one. The new replica gets its vote before the old one is removed, so that the number
-// of votes that can be lost never drops below what it was.
+// replica with the given name. The new replica becomes a voter before the old one is
+// removed, so that the number of failures that the group tolerates never decreases.
 func (c *Client) ReplaceReplica(ctx context.Context, name, address string) (*apiv1.Membership, error) {
 	lost, err := c.findMemberID(ctx, name, address)
 	if err != nil {
@@ -64,9 +64,9 @@
 	return resp.Msg, nil
 }
 
-// findMemberID finds a member by name. If two members have the name, as after a
-// half-finished replacement, it returns the one whose id differs from that of the replica
-// at address.
+// findMemberID returns the id of the member with the given name. If two members have
+// the name because a replacement was only half finished, it returns the one that is not
+// the replica at address.
 func (c *Client) findMemberID(ctx context.Context, name, address string) (uint64, error) {
 	s, err := c.Status(ctx)
 	if err != nil {
@@ -119,8 +119,8 @@
 	}
 }
 
-// alreadyDone reports whether the membership is already as requested: an earlier try
-// may have been accepted although its response was lost.
+// alreadyDone reports whether the membership is already as requested, as after an
+// earlier try that was accepted but whose response was lost.
 func (c *Client) alreadyDone(ctx context.Context, req *apiv1.ChangeReplicaRequest) (bool, *apiv1.Membership) {
 	s, err := c.Status(ctx)
 	if err != nil {
