--- a/internal/replica/adapter.go
+++ b/internal/replica/adapter.go
@@ -8,14 +8,16 @@
 	"cactuspath/core/estate"
 )
 
-// Submission is an institution's text that an operator submits.
+// Submission is an estate text that an operator submits for an institution through a platform
+// adapter.
 type Submission struct {
 	ID           string
 	BaseRevision uint64
 	Text         []byte
 	// Source is the document that Text was translated from, if any.
 	Source []byte
-	// ContentID marks ID as a digest of the submitted content.
+	// ContentID is set if ID is a digest of the submitted content instead of a unique ID of the
+	// change.
 	ContentID bool
 }
 
@@ -29,7 +31,7 @@
 
 // Evacuate commits the start or end of an evacuation. If the data centre is already in the
 // requested state, the change is accepted without effect, so that a caller can retry after a lost
-// answer.
+// response.
 func (r *Replica) Evacuate(ctx context.Context, operator string, e Evacuation) (*apiv1.AuditRecord, error) {
 	return r.evacuate(ctx, Operator{Name: operator, Hosts: true}, e)
 }
@@ -40,8 +42,9 @@
 	Text, Source []byte
 }
 
-// Submit commits a text for an adapter in this process that implements an operator's format. Every
-// caller of the adapter acts as the named operator.
+// Submit commits an estate text on behalf of the named operator. It is called by the platform
+// adapter in this process, which translates the platform's configuration format. All callers of the
+// adapter act as this operator, who may change everything.
 func (r *Replica) Submit(ctx context.Context, operator string, s Submission) (*apiv1.AuditRecord, error) {
 	if err := requireChangeID(s.ID); err != nil {
 		return nil, err
@@ -59,7 +62,7 @@
 }
 
 // Newest returns the newest text of an institution after confirmation by a majority. It fails on a
-// replica that cannot obtain the confirmation. The zero Document means that the institution has no
+// replica that cannot get the confirmation. The zero Document means that the institution has no
 // text.
 func (r *Replica) Newest(ctx context.Context, institution string) (Document, error) {
 	if err := r.readBarrier(ctx); err != nil {
@@ -88,6 +91,6 @@
 	return doc, nil
 }
 
-// LeaderAddress returns the address of the leader. It is empty if this replica leads or does not
-// know the leader.
+// LeaderAddress returns the address of the leader, or "" if this replica is the leader itself or
+// does not know it.
 func (r *Replica) LeaderAddress() string { return r.leaderAddress() }
--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -42,7 +42,8 @@
 	if w, ok := r.proposals[e.Index]; ok {
 		delete(r.proposals, e.Index)
 		if w.term != e.Term {
-			// An entry of another leader has this index: the proposal was not committed.
+			// The committed entry at this index was proposed by another leader, so this proposal
+			// was not committed.
 			record = nil
 		}
 		w.done <- record
--- a/internal/replica/auth.go
+++ b/internal/replica/auth.go
@@ -44,7 +44,8 @@
 	return Operator{}, fault.New(fault.Unauthorized, errUnauthorized)
 }
 
-// hostOperator identifies the operator and checks that it may change hosts and replicas.
+// hostOperator identifies the operator by its token and checks that it may change hosts and
+// replicas.
 func (r *Replica) hostOperator(header http.Header, claimedName string) (Operator, error) {
 	operator, err := r.authenticate(header, claimedName)
 	if err == nil && !operator.Hosts {
--- a/internal/replica/commands.go
+++ b/internal/replica/commands.go
@@ -97,8 +97,8 @@
 	return r.propose(ctx, change)
 }
 
-// checkDataCenter rejects unknown data centres. Otherwise, an order with a misspelled name would be
-// acknowledged but have no effect.
+// checkDataCenter rejects unknown data centres. Otherwise, an evacuation with a misspelled name
+// would be acknowledged but have no effect.
 func (r *Replica) checkDataCenter(name string) error {
 	known := r.options.DataCenters
 	switch {
--- a/internal/replica/disk.go
+++ b/internal/replica/disk.go
@@ -23,8 +23,9 @@
 
 // waitForDisk waits until the disk accepts writes again. It returns false if ctx ends first.
 // Meanwhile, the replica does not lead and does not vote or acknowledge entries: it sends nothing
-// that it could not store, and redirects proposals and reads. Continuing without the disk would
-// acknowledge data that a crash loses, and a restarted process would find the same disk.
+// that it could not store, and redirects proposals and reads. If it continued without the disk, it
+// would acknowledge data that a crash loses. Exiting would not help either, because a restarted
+// process would find the same disk.
 func (r *Replica) waitForDisk(ctx context.Context, cause error) bool {
 	klog.ErrorS(cause, "Disk lost: standing aside", "replica", r.options.Name, "folder", r.options.DataFolder)
 	r.counters.diskFailures.Add(1)
--- a/internal/replica/expiring_map.go
+++ b/internal/replica/expiring_map.go
@@ -31,7 +31,7 @@
 }
 
 // list returns the valid values for which include returns true, sorted by key, and deletes expired
-// values. It sorts only the included keys: often there are none among hundreds.
+// values. It sorts only the included keys, because usually few or none of hundreds are included.
 func (r expiringMap[K, V]) list(include func(V) bool) []V {
 	var keys []K
 	for key, s := range r.byKey {
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -30,8 +30,8 @@
 	// silenceTimeout is the silence after which a voter counts as lost, so that the leader replaces
 	// it. It is five missed heartbeats, and less than twice the shortest election timeout.
 	silenceTimeout = time.Second
-	// learnerRemovalTimeout is the silence after which a learner is removed. Until then, it costs
-	// only messages.
+	// learnerRemovalTimeout is the silence after which a learner is removed. A learner does not
+	// vote, so keeping it costs nothing but messages.
 	learnerRemovalTimeout = 30 * time.Second
 	// maxMembers limits the size of the group. The leader sends a copy of each entry to each
 	// member, and no deployment needs more than nine voters.
@@ -53,8 +53,8 @@
 
 // complete reports whether a leader with status s may accept changes. Until the group has all its
 // voters, a committed entry may be stored on too few disks to survive the loss of Tolerate members.
-// A membership change affects at most one voter, so with an extra voter the latest one need not be
-// committed yet.
+// A membership change affects at most one voter. If there is one voter more than needed, the latest
+// membership change therefore need not be committed yet.
 func (g *Group) complete(s consensus.Status) bool {
 	if g == nil {
 		return true
@@ -63,8 +63,8 @@
 	return voters > g.voters() || voters == g.voters() && s.ConfigCommitted
 }
 
-// manageMembership requests to join while this replica is not a member, and reconciles the members
-// while it leads.
+// manageMembership requests to join the group while this replica is not a member. While it is the
+// leader, it proposes the membership changes that the group needs.
 func (r *Replica) manageMembership(ctx context.Context) {
 	if r.options.Group == nil {
 		return
@@ -143,7 +143,7 @@
 	return connect.NewResponse(&apiv1.JoinResponse{}), nil
 }
 
-// reconcileMembers proposes at most one membership change.
+// reconcileMembers proposes the membership change that planMembers returns, if any.
 func (r *Replica) reconcileMembers(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, membershipInterval)
 	defer cancel()
@@ -185,8 +185,9 @@
 	}
 }
 
-// planMembers returns the next membership change, or nil if none is needed. It depends only on the
-// leader's view, so that each rule can be tested separately.
+// planMembers returns the next membership change, or nil if none is needed. It depends only on its
+// arguments, the status of the leader and the pending requests to join, so that each rule can be
+// tested separately.
 func planMembers(s consensus.Status, joinRequests []*apiv1.Member, wanted int, tick time.Duration) *memberChange {
 	if s.Role != consensus.Leader || !s.ConfigCommitted {
 		return nil
--- a/internal/replica/peers.go
+++ b/internal/replica/peers.go
@@ -15,10 +15,12 @@
 
 const (
 	peerQueueSize = 128
-	// stepTimeout limits the time to send messages to a peer. It is short enough that a follower
-	// behind a silent link receives messages over a new connection before it starts an election.
+	// stepTimeout limits the time to send messages to a peer. If a connection no longer delivers
+	// data, a new one is opened after this time, early enough that a follower receives messages
+	// before it starts an election.
 	stepTimeout = 700 * time.Millisecond
-	// snapshotTimeout is the limit for messages with a snapshot, which has megabytes.
+	// snapshotTimeout replaces stepTimeout for messages with a snapshot, which can have several
+	// megabytes.
 	snapshotTimeout = 5 * time.Second
 )
 
@@ -63,8 +65,8 @@
 	p.learnedAddresses[id] = address
 }
 
-// address returns the address of a member according to the membership. As long as this replica does
-// not know the member, it returns the address that the member sent.
+// address returns the address of a member according to the membership. If the membership known to
+// this replica does not contain the member yet, it returns the address that the member sent.
 func (p *peers) address(id uint64, members *apiv1.Membership) string {
 	if m := consensus.FindMember(members, id); m != nil {
 		return m.Address
--- a/internal/replica/presence.go
+++ b/internal/replica/presence.go
@@ -15,32 +15,35 @@
 	"github.com/cockroachdb/errors"
 )
 
-// presence holds the announcements of nodes for nodes that have just started and have no relay yet.
-// Choosing relays needs a leader, and after a restart of the whole system there is none for about a
-// second. Each replica has its own presence, which is not stored or replicated; an outdated entry
-// costs the node that uses it one refused attempt. presence is safe for concurrent use.
+// presence holds the directory entries that nodes announce to this replica. Nodes that have just
+// started and have no relay yet receive the entries of other nodes from it: relays are chosen by
+// the leader, and after a restart of the whole system there is no leader for about a second. The
+// entries are neither stored on disk nor replicated to other replicas. An outdated entry costs the
+// node that uses it one refused attempt. presence is safe for concurrent use.
 //
 // A node that waits for a relay polls many times per second. It receives only the changes since its
-// last poll: when each poll returned all entries, 300 nodes that started together received 1.6 MB
+// last poll. If each poll returned all entries, 300 nodes that start together would receive 1.6 MB
 // per second from each replica.
 type presence struct {
-	// process distinguishes this presence from that of an earlier process of the replica.
+	// process identifies this process of the replica. A cursor from an earlier process is ignored,
+	// because its versions belong to other changes.
 	process uint64
 
 	mu      sync.Mutex
 	entries expiringMap[string, versionedEntry]
-	// version is the number of changes so far.
+	// version counts the changes of entries.
 	version uint64
 }
 
 type versionedEntry struct {
 	entry *apiv1.Entry
-	// version is the version of presence at the last change of the entry.
+	// version is the value of presence.version after the last change of this entry.
 	version uint64
 }
 
 const (
-	// presenceTTL is how long an announcement is valid. It spans three announcements of a node.
+	// presenceTTL is how long an announcement is valid: three times the interval at which a node
+	// repeats it.
 	presenceTTL = 90 * time.Second
 	// maxPresenceEntries limits the number of entries. In larger fleets, relays provide the
 	// entries.
@@ -70,8 +73,8 @@
 }
 
 // changedSince returns the entries that changed after the cursor, sorted by host, and the new
-// cursor. Without a cursor of this process, it returns the entries of all nodes that have not
-// departed or failed. With a cursor, it also returns the entries of those that have.
+// cursor. They include tombstones, the entries of nodes that have departed or failed. If the cursor
+// is nil or from an earlier process, it returns all entries except tombstones.
 func (p *presence) changedSince(cursor *apiv1.ClaimCursor) ([]*apiv1.Entry, *apiv1.ClaimCursor) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/replica/presence_test.go
+++ b/internal/replica/presence_test.go
@@ -45,8 +45,9 @@
 	assert.DeepEqual(t, hosts(list), []string{"a", "c"})
 }
 
-// Guards against a restarted replica, whose versions start at zero again, hiding entries from a
-// node whose cursor is from the earlier process.
+// Guards against entries that a restarted replica does not send. Its versions begin at zero again,
+// so a cursor that a node received from the earlier process is higher than the versions of new
+// entries.
 func TestCursorOfEarlierProcessHidesNothing(t *testing.T) {
 	before := newPresence()
 	for i := range 50 {
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -25,8 +25,8 @@
 	var proposeErr error
 	err = r.runInLoop(ctx, func() {
 		s := r.raft.Status()
-		// Only the leader checks completeness: a follower may not know yet that a
-		// membership change is committed. On other replicas, Propose returns ErrNotLeader.
+		// Only the leader checks whether the group is complete, because a follower may not know yet
+		// that a membership change is committed. On other replicas, Propose returns ErrNotLeader.
 		if s.Role == consensus.Leader && !r.options.Group.complete(s) {
 			proposeErr = errGroupIncomplete
 			return
@@ -56,9 +56,10 @@
 	}
 }
 
-// readBarrier waits until a majority confirms that this replica leads and until it has applied all
-// entries that were committed before the call. It fails on a replica that is cut off by a
-// partition, so that this replica never returns an old revision as the newest.
+// readBarrier waits until a majority confirms that this replica is the leader and until it has
+// applied all entries that were committed before the call. It fails on a replica that a network
+// partition separates from the majority, so that such a replica never returns an old revision as
+// the newest.
 func (r *Replica) readBarrier(ctx context.Context) error {
 	answer := make(chan consensus.Read, 1)
 	var readErr error
--- a/internal/replica/queries.go
+++ b/internal/replica/queries.go
@@ -12,18 +12,19 @@
 )
 
 // queryService implements apiv1connect.OperatorQueryServiceHandler. Queries for the newest state
-// pass a read barrier first.
+// first call readBarrier, so that they do not return an outdated state.
 type queryService struct{ r *Replica }
 
 const maxAuditRecords = 1000
 
-// Check returns the problems of a text. It changes nothing.
+// Check validates an estate text and returns its problems. It changes nothing.
 func (q queryService) Check(_ context.Context, req *connect.Request[apiv1.CheckRequest]) (*connect.Response[apiv1.CheckResponse], error) {
 	_, problems := estate.Parse(req.Msg.Text)
 	return connect.NewResponse(&apiv1.CheckResponse{Problems: estate.ProblemsToProto(problems)}), nil
 }
 
-// Status summarizes where the newest revision is in force.
+// Status returns the newest revision, on how many nodes it is in force and which nodes do not have
+// it, and the state of hosts, data centres and relays.
 func (q queryService) Status(ctx context.Context, _ *connect.Request[apiv1.StatusRequest]) (*connect.Response[apiv1.StatusResponse], error) {
 	if err := q.r.readBarrier(ctx); err != nil {
 		return nil, err
--- a/internal/replica/relays.go
+++ b/internal/replica/relays.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// relayLease is how long a relay is valid after its last sync.
+	// relayLease is how long a relay counts as running after its last sync with the leader.
 	relayLease = 5 * time.Second
 	// nodesPerRelay is the number of nodes per relay above which a data centre gets another relay.
 	// It limits the bytes and processor time of a relay.
 	nodesPerRelay = 32
 	minRelays     = 2
 	// growthInterval is the minimum time between two requests for another relay in a data centre.
-	// It is as long as a new relay takes to report, so that none is requested twice.
+	// It is as long as a new relay takes to send its first report, so that the leader does not
+	// request the same relay twice.
 	growthInterval = 3 * time.Second
-	// maxBehindNodes limits the number of outdated nodes in a status.
+	// maxBehindNodes limits the number of nodes with an old revision that a status lists.
 	maxBehindNodes = 64
 )
 
@@ -61,7 +62,8 @@
 	}
 }
 
-// wantedRelays returns the number of relays that a data centre should have.
+// wantedRelays returns the number of relays that a data centre should have, which depends on its
+// number of nodes.
 func (t *relayTable) wantedRelays(dataCenter string) int {
 	nodes := 0
 	for _, r := range t.relays {
@@ -83,8 +85,8 @@
 	return list
 }
 
-// assign answers a node that needs a relay. The node itself becomes a relay if its data centre
-// has too few, not counting those that the node could not reach.
+// assign returns the relays for a node that needs one. It tells the node to become a relay itself
+// if its data centre has too few relays, not counting those that the node could not reach.
 func (t *relayTable) assign(req *apiv1.FindRelaysRequest) *apiv1.FindRelaysResponse {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -109,7 +111,7 @@
 	return resp
 }
 
-// advice tells a relay how to change the number of relays in its data centre.
+// advice tells a relay whether to step down or to turn other nodes of its data centre into relays.
 type advice struct {
 	// stepDown means that there are enough other relays.
 	stepDown bool
@@ -132,9 +134,10 @@
 	return list, RelaysDigest(list), a
 }
 
-// advise keeps the number of relays close to the wanted number. The last relay by host name steps
-// down if there are at least two too many, so that the number does not oscillate. The first relay
-// is asked to add one if there are too few.
+// advise returns the advice for a relay that keeps the number of relays close to the wanted number.
+// If there are at least two too many, the last relay by host name is told to step down; with only
+// one too many, nothing changes, so that the number does not oscillate. If there are too few, the
+// first relay by host name is told to add one, at most once per growthInterval.
 func (t *relayTable) advise(relay *apiv1.RelayInfo) advice {
 	peers := t.inDataCenter(relay.DataCenter)
 	wantedRelays := t.wantedRelays(relay.DataCenter)
@@ -169,7 +172,8 @@
 	return h.Sum64()
 }
 
-// summarize adds the relays' reports about a revision to resp.
+// summarize adds to resp how many nodes have the revision, and which do not, according to the
+// reports of the relays.
 func (t *relayTable) summarize(revision uint64, resp *apiv1.StatusResponse) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/replica/relays_test.go
+++ b/internal/replica/relays_test.go
@@ -34,8 +34,8 @@
 	assert.Equal(t, became, minRelays)
 }
 
-// Guards against counting relays that are valid for the leader but unreachable for the node that
-// needs one.
+// Guards against leaving a node without a relay because the leader counts relays that the node
+// cannot reach.
 func TestUnreachableRelaysDoNotCount(t *testing.T) {
 	table, _ := newTestTable()
 	table.sync(relaySync("a", 10))
@@ -44,8 +44,9 @@
 	assert.Assert(t, resp.BecomeRelay)
 }
 
-// Guards against adding relays too fast in a data centre that grew. One relay must be requested at
-// a time, only from the first relay, and none twice.
+// Guards against adding too many relays in a data centre whose number of nodes has grown. The
+// leader must request one relay at a time, only from the first relay, and must not request it twice
+// while it is starting.
 func TestRelaysGrowWithNodes(t *testing.T) {
 	table, now := newTestTable()
 	asked := 0
@@ -60,8 +61,8 @@
 	assert.Equal(t, asked, 3)
 }
 
-// Guards against counting relays that have not reported for the length of their lease, and against
-// keeping too many relays in a data centre that shrank.
+// Guards against counting relays whose lease has expired because they did not report, and against
+// keeping too many relays in a data centre whose number of nodes has decreased.
 func TestRelaysExpireAndShrink(t *testing.T) {
 	table, now := newTestTable()
 	for _, host := range []string{"a", "b", "c", "d"} {
@@ -74,8 +75,8 @@
 	assert.Equal(t, len(list), 1)
 }
 
-// Guards against a status that omits nodes with an old revision or counts nodes of relays that do
-// not have the revision.
+// Guards against a status that does not list nodes with an old revision, or that counts nodes as up
+// to date although the relay they report to does not have the revision.
 func TestSummary(t *testing.T) {
 	table, _ := newTestTable()
 	a := relaySync("a", 3)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -23,8 +23,8 @@
 const (
 	tickInterval = 50 * time.Millisecond
 	// A follower starts an election 0.7 to 1.4 s after the last message of the leader, and a leader
-	// steps down after 0.7 s without its majority. This spans about five heartbeats on links with
-	// delays of a few milliseconds.
+	// steps down if it has not heard from a majority for 0.7 s. On links with delays of a few
+	// milliseconds, about five heartbeats are sent in 0.7 s.
 	electionTicks     = 14
 	heartbeatTicks    = 3
 	inputQueueSize    = 256
@@ -37,9 +37,11 @@
 	DataFolder    string
 	Security      *transport.Security
 	Operators     []Operator
-	// DataCenters are the data centres that may be evacuated; any if empty.
+	// DataCenters lists the data centres that may be evacuated. If it is empty, any name is
+	// accepted.
 	DataCenters []string
-	// Tick is the duration of a tick; 0 means 50 ms.
+	// Tick is the time unit of the consensus core, in which election timeouts and heartbeats are
+	// counted; 0 means 50 ms.
 	Tick time.Duration
 	// Group makes the replicas manage their membership themselves; nil leaves this to operators.
 	Group *Group
@@ -64,7 +66,7 @@
 	reads      map[uint64]chan<- consensus.Read
 	lastReadID uint64
 	hardState  *apiv1.HardState
-	// compactAfter is the earliest time of the next compaction after a failure.
+	// compactAfter is the earliest time at which compaction of the log is retried after a failure.
 	compactAfter time.Time
 
 	mu      sync.RWMutex
@@ -79,7 +81,8 @@
 	joinLog      joinLogger
 	watchers     watchers
 	presence     *presence
-	// quarantine stores for the nodes what they know about servers that crashed.
+	// quarantine stores what the nodes report about servers that crashed, and passes it on to the
+	// other nodes.
 	quarantine *quarantine.Tracker
 }
 
@@ -88,7 +91,7 @@
 	done chan<- *apiv1.AuditRecord
 }
 
-// Open reads the data folder and returns a replica that is ready to run.
+// Open reads the data folder and returns a replica on which Run can be called.
 func Open(options Options) (*Replica, error) {
 	if options.Tick == 0 {
 		options.Tick = tickInterval
@@ -125,8 +128,8 @@
 	return r, nil
 }
 
-// Run runs the replica until ctx ends. While the disk rejects writes, the replica neither leads nor
-// acknowledges anything.
+// Run runs the replica until ctx ends. While the disk rejects writes, the replica is not the leader
+// and acknowledges neither changes nor log entries.
 func (r *Replica) Run(ctx context.Context) error {
 	defer close(r.done)
 	defer r.peers.close()
@@ -155,7 +158,8 @@
 	}
 }
 
-// processQueuedInputs handles the queued messages and calls, so that they share one sync.
+// processQueuedInputs handles all queued messages and calls together, so that one disk sync
+// suffices for them.
 func (r *Replica) processQueuedInputs() {
 	for range maxInputsPerBatch {
 		select {
@@ -233,7 +237,8 @@
 	return "none"
 }
 
-// Status returns the status of the consensus core as of the last batch.
+// Status returns the status of the consensus core after the last batch of messages and calls that
+// the run loop has processed.
 func (r *Replica) Status() consensus.Status { return *r.status.Load() }
 
 // Revision returns the newest revision that is applied on this replica.
--- a/internal/replica/serve.go
+++ b/internal/replica/serve.go
@@ -45,8 +45,8 @@
 // controlService implements apiv1connect.ControlServiceHandler.
 type controlService struct{ r *Replica }
 
-// FindRelays answers a node that has no relay. Only the leader answers, so that a single replica
-// counts the relays of a data centre.
+// FindRelays returns relays to a node that has none. Only the leader does so, because the relays of
+// a data centre must be counted in one place.
 func (c controlService) FindRelays(_ context.Context, req *connect.Request[apiv1.FindRelaysRequest]) (*connect.Response[apiv1.FindRelaysResponse], error) {
 	if err := c.requireLeader(); err != nil {
 		return nil, err
@@ -55,12 +55,14 @@
 	return connect.NewResponse(c.r.relays.assign(req.Msg)), nil
 }
 
-// Quarantine exchanges the knowledge of a node and this replica about servers that crashed.
+// Quarantine processes the messages of a node about servers that crashed, and returns the replies
+// to it.
 func (c controlService) Quarantine(_ context.Context, req *connect.Request[apiv1.QuarantineExchange]) (*connect.Response[apiv1.QuarantineExchange], error) {
 	return connect.NewResponse(&apiv1.QuarantineExchange{Messages: c.r.quarantine.Answer(req.Msg.Messages)}), nil
 }
 
-// RelaySync returns to a relay the changes since its revision, after a read barrier.
+// RelaySync stores the report of a relay and returns the changes since its revision. It calls
+// readBarrier first, so that the relay knows that it has the newest revision.
 func (c controlService) RelaySync(ctx context.Context, req *connect.Request[apiv1.RelaySyncRequest]) (*connect.Response[apiv1.RelaySyncResponse], error) {
 	if err := c.r.readBarrier(ctx); err != nil {
 		return nil, err
--- a/internal/replica/watch.go
+++ b/internal/replica/watch.go
@@ -16,19 +16,21 @@
 	// core. In larger fleets, nodes receive changes from their relays.
 	maxWatchers = 512
 	maxHold     = 5 * time.Second
-	// detachedTimeout is the silence of the leader, a few missed heartbeats, after which a follower
-	// refers its watchers to other replicas.
+	// A follower that has not heard from the leader for detachedTimeout, which is a few missed
+	// heartbeats, tells its watchers to use another replica.
 	detachedTimeout = 600 * time.Millisecond
-	// detachedCheckInterval is the interval at which a waiting watch checks whether the replica is
-	// detached.
+	// detachedCheckInterval is the interval at which a call to Watch that waits for a change checks
+	// whether the replica has lost contact with the leader.
 	detachedCheckInterval = 250 * time.Millisecond
 )
 
-// watchers counts the active watches.
+// watchers counts the calls to Watch that are in progress.
 type watchers struct{ active atomic.Int64 }
 
-// Watch waits until a revision newer than the watcher's is applied on this replica. It returns only
-// committed revisions, which a later leader cannot revert.
+// Watch returns the changes after the revision of the calling node. If there are none, it holds the
+// response until this replica has applied a newer revision, the requested hold time ends or the
+// replica loses contact with the leader. It returns only committed revisions, which a later leader
+// cannot revert.
 func (c controlService) Watch(ctx context.Context, req *connect.Request[apiv1.WatchRequest]) (*connect.Response[apiv1.WatchResponse], error) {
 	r := c.r
 	resp := &apiv1.WatchResponse{}
