--- a/internal/process/extra.go
+++ b/internal/process/extra.go
@@ -17,13 +17,14 @@
 	"cactuspath/internal/settings"
 )
 
-// extraListener is a listener in addition to those of the node and the replica.
+// extraListener is a listener for the adapter or the metrics, with its handler.
 type extraListener struct {
 	listener net.Listener
 	handler  http.Handler
 }
 
-// chooseAdapter finds the adapter that the settings name and passes its options to it.
+// chooseAdapter returns the adapter that the settings name, or nil if they name none,
+// after it has applied its options to the settings.
 func chooseAdapter(s *settings.Settings, adapters map[string]adapter.Adapter) (adapter.Adapter, error) {
 	if s.Adapter == nil {
 		return nil, nil
@@ -81,7 +82,8 @@
 	return all
 }
 
-// serveExtra serves the extra listeners; the returned function closes them.
+// serveExtra starts to serve the listeners for the adapter and the metrics. The
+// returned function closes them.
 func (p *Process) serveExtra() (closeAll func()) {
 	var servers []*http.Server
 	for _, e := range p.extra {
@@ -100,11 +102,12 @@
 	}
 }
 
-// rpcPrefix is the path prefix of all calls between the project's own processes.
+// rpcPrefix is the path prefix of all RPCs between cactuspath processes, and of those
+// of cactusctl.
 const rpcPrefix = "/cactuspath.v1."
 
-// routeByPrefix routes the project's own calls to the first handler and all others to
-// the second.
+// routeByPrefix returns a handler that passes requests whose path begins with rpcPrefix
+// to own and all others to other.
 func routeByPrefix(own, other http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, rpcPrefix) {
--- a/internal/process/group_test.go
+++ b/internal/process/group_test.go
@@ -18,8 +18,9 @@
 	"cactuspath/internal/settings"
 )
 
-// controlGroup is a control group in this process, set up as a platform does it: all
-// processes get the same three addresses, and none is told the size of the group.
+// controlGroup runs the replicas of a control group inside the test. They are
+// configured as by a platform: all get the same three addresses, and none is told how
+// many replicas there are.
 type controlGroup struct {
 	t         *testing.T
 	folder    string
@@ -110,9 +111,10 @@
 	return 0
 }
 
-// Three founders alone must not acknowledge a change: it would be lost with two of
-// their disks. Once there are five voters, a change is acknowledged; it survives the
-// loss of two disks at once, and both replicas return as new members.
+// Guards against losing an acknowledged change with two disks. Three founders alone
+// must not acknowledge a change, because the loss of two of their disks could lose it.
+// Five voters must acknowledge it. After two of them lose their disks at the same time,
+// it must still be readable, and both must rejoin as new members.
 func TestGroupBootstrapsAndSurvivesTwoLostDisks(t *testing.T) {
 	g := newControlGroup(t, 5)
 	for i := range 3 {
@@ -147,8 +149,9 @@
 	return 0
 }
 
-// The same change reaches another replica after its response was lost, also after all
-// processes restarted: it gets the first result, and a read returns what was sent.
+// Guards against applying a change twice. A change whose response was lost is sent
+// again, possibly to another replica, after all processes were restarted. It must get
+// the result of the first time, and a read must return what was sent.
 func TestResentChangeGetsFirstResultAfterFullRestart(t *testing.T) {
 	g := newControlGroup(t, 5)
 	for i := range 5 {
@@ -199,8 +202,8 @@
 	return false
 }
 
-// Guards against losing an acknowledged evacuation: two disks are lost at once right
-// after it, then every process ends.
+// Guards against losing an acknowledged evacuation. Two disks are lost at the same time
+// immediately after the acknowledgement, and then all processes are restarted.
 func TestEvacuationSurvivesTwoLostDisksAndFullRestart(t *testing.T) {
 	g := newControlGroup(t, 5)
 	for i := range 5 {
--- a/internal/process/init.go
+++ b/internal/process/init.go
@@ -17,9 +17,9 @@
 const logStatusTimeout = 2 * time.Second
 
 // Init writes the identity into the data folder of a founding replica. It fails if
-// another founder responds with a log that already has entries: this replica then had a
-// disk before, and if it took the same id on the empty one, it could vote as its former
-// self, against its earlier votes and acknowledgements.
+// another founder responds with a log that already has entries. In that case the group
+// is not new, and this replica has lost its previous disk: with the same id and an
+// empty disk, it could contradict votes and acknowledgements that it gave before.
 func Init(ctx context.Context, s *settings.Settings) error {
 	if s.Control == nil {
 		return errors.New("the settings have no control block; init is for control replicas only")
@@ -49,7 +49,7 @@
 	defer cancel()
 	resp, err := client.At(address).Log.LogStatus(ctx, connect.NewRequest(&apiv1.LogStatusRequest{}))
 	if err != nil {
-		// Not running yet, as at the first start of a cluster.
+		// The founder does not respond, as at the first start of a cluster.
 		return nil
 	}
 	if resp.Msg.Commit > 0 {
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -42,14 +42,15 @@
 	extra []extraListener
 }
 
-// Open opens the listeners and the data folder without serving yet. The settings may
-// name one of the adapters.
+// Open opens the listeners and the data folder; the process serves requests once Run is
+// called. adapters are the available platform adapters by name, one of which the
+// settings may select.
 func Open(s *settings.Settings, adapters map[string]adapter.Adapter) (*Process, error) {
 	return OpenOn(s, nil, adapters)
 }
 
-// OpenOn is like Open, but takes an open listener for the control replica; if it is
-// nil, OpenOn opens one.
+// OpenOn is like Open, but uses an existing listener for the control replica. If
+// control is nil, it opens one.
 func OpenOn(s *settings.Settings, control net.Listener, adapters map[string]adapter.Adapter) (*Process, error) {
 	chosen, err := chooseAdapter(s, adapters)
 	if err != nil {
@@ -91,12 +92,13 @@
 	return err
 }
 
-// dataFolderRetryInterval is how often a data folder that cannot be written is tried
-// again.
+// dataFolderRetryInterval is the delay before writing to the data folder is retried
+// after an error.
 const dataFolderRetryInterval = 500 * time.Millisecond
 
-// initDataFolderWithRetry waits while the disk is full or broken: if the process
-// exited, it would be restarted with the same disk.
+// initDataFolderWithRetry calls initDataFolder until it succeeds. It waits while the
+// disk is full or broken, because a process that exited would only be restarted with
+// the same disk.
 func (p *Process) initDataFolderWithRetry() {
 	for logged := false; ; logged = true {
 		err := p.initDataFolder()
@@ -112,8 +114,9 @@
 
 // initDataFolder writes an identity into an empty data folder. The replica starts as a
 // new member that waits to be admitted: it has no vote, and never takes over that of
-// the replica it replaces. Only at the first start of the whole system do the addresses
-// in the settings of all processes become the founders of the group.
+// the replica it replaces. Only at the first start of the whole system, which the
+// settings mark, the replicas at the configured addresses become the founders of the
+// group and have a vote from the beginning.
 func (p *Process) initDataFolder() error {
 	c := p.Settings.Control
 	if wal.HasIdentity(c.DataFolder) {
@@ -152,8 +155,9 @@
 	return binary.LittleEndian.Uint64(b[:]) | 1
 }
 
-// FounderID returns the member id of a founder. It is the same on every founder, so
-// that they agree on the first members without communicating.
+// FounderID returns the member id of the founder with the given name, which is its
+// address if the group bootstraps itself. Every founder computes the same ids, so that
+// they agree on the initial members without communicating.
 func FounderID(name string) uint64 { return xxhash.Sum64String("founder/" + name) }
 
 func (p *Process) openNode() error {
@@ -192,7 +196,7 @@
 // the settings leave the port open (0).
 const maxPeerPortTries = 20
 
-// listenPeer opens the peer address for TCP and UDP.
+// listenPeer listens on the peer address for TCP and on the same port for UDP.
 func listenPeer(address string) (net.Listener, net.PacketConn, error) {
 	var lastErr error
 	for range maxPeerPortTries {
@@ -212,8 +216,8 @@
 
 const controlHeaderTimeout = 10 * time.Second
 
-// Run serves until ctx is canceled, then performs a planned stop. The error is nil
-// after a planned stop that cut off nothing.
+// Run serves until ctx is canceled, then performs a planned stop. It returns an error
+// if the stop cut off requests.
 func (p *Process) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -235,7 +239,8 @@
 	} else {
 		<-ctx.Done()
 	}
-	// The replica stops last: the node's departure reaches it through the relays.
+	// The replica stops after the node, because it receives the node's departure from
+	// the relays.
 	if p.Replica != nil {
 		p.stopControl(server, stopReplica)
 	}
@@ -263,8 +268,8 @@
 
 const leadershipTransferPeriod = 300 * time.Millisecond
 
-// stopControl transfers leadership before it stops, so that changes in progress at
-// other replicas do not wait for an election.
+// stopControl stops the control replica. It transfers leadership first, so that changes
+// that other replicas are waiting for are not delayed by an election.
 func (p *Process) stopControl(server *http.Server, stop context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(context.Background(), leadershipTransferPeriod)
 	defer cancel()
--- a/internal/process/reload.go
+++ b/internal/process/reload.go
@@ -12,12 +12,13 @@
 	"cactuspath/internal/settings"
 )
 
-// reloadInterval is how often the settings file is read. A change without a signal then
-// takes effect within about a second, at the cost of one read a second.
+// reloadInterval is the interval at which the settings file is read, so that a change
+// takes effect within about a second even if no signal is sent to the process.
 const reloadInterval = time.Second
 
-// WatchSettings applies changes of the settings file until ctx is canceled: immediately
-// on a signal, otherwise when the file differs from what was last read.
+// WatchSettings applies changes of the settings file until ctx is canceled. It reads
+// the file immediately on a signal and otherwise every reloadInterval, and applies it
+// if its contents differ from what was last read.
 func (p *Process) WatchSettings(ctx context.Context, file string, signalled <-chan os.Signal) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
@@ -44,8 +45,9 @@
 	}
 }
 
-// reload applies the settings that may change while the process runs. An invalid file
-// changes nothing: the settings in use stay.
+// reload applies the settings that can change while the process runs: the addresses of
+// the control replicas and the disabled mechanisms. If the file is invalid, the current
+// settings stay in use.
 func (p *Process) reload(file string, text []byte, why string) {
 	s, problems := settings.Parse(text)
 	if len(problems) > 0 {
--- a/internal/process/reload_test.go
+++ b/internal/process/reload_test.go
@@ -15,8 +15,9 @@
 
 const reloadSettings = `{"host": "h", "dataCenter": "d", "region": "r", "controlReplicas": ["ADDRESS"], "node": {"callers": "127.0.0.1:0", "peer": "127.0.0.1:0", "admin": "127.0.0.1:0"}}`
 
-// The settings name other control replicas while the process runs, once with a signal
-// and once without. Both take effect; an invalid file changes nothing.
+// The settings file is changed to other control replicas while the process runs, once
+// with a signal and once without. Both changes must take effect, and an invalid file
+// must change nothing.
 func TestSettingsReload(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.jsonc")
 	write := func(address string) {
