--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -30,8 +30,8 @@
 	kindHardState
 )
 
-// DamageError reports that synced data on disk has changed. The replica must not run, because it
-// may have lost a vote or an entry that other replicas rely on.
+// DamageError reports that data on disk differs from what was written and synced. The replica must
+// not run, because it may have lost a vote or an entry that other replicas rely on.
 type DamageError struct {
 	File   string
 	Offset int64
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -23,7 +23,7 @@
 	dirPerm      = 0o700
 )
 
-// Errors about the data folder. Their messages name the remedy.
+// Errors returned for a data folder that cannot be used. The messages tell operators what to do.
 var (
 	ErrNoIdentity = errors.New("the data folder holds no replica; run `cactuspath init --settings F` for the first start of a new cluster, " +
 		"or start it as it is and run `cactusctl replica add` to admit it to a running one")
@@ -63,7 +63,8 @@
 	return err == nil
 }
 
-// WriteIdentity assigns an unused folder to a member.
+// WriteIdentity assigns a folder to a member by storing its identity there. It fails if the folder
+// already belongs to a replica.
 func WriteIdentity(folder string, id Identity) error {
 	if HasIdentity(folder) {
 		return errors.Newf("%s already holds a replica; use another folder", folder)
@@ -78,24 +79,26 @@
 	return WriteSynced(folder, identityName, data)
 }
 
-// Log is an open data folder. It is not safe for concurrent use.
+// Log is the open data folder of a replica, with its log file and snapshot. It is not safe for
+// concurrent use.
 type Log struct {
 	folder string
 	lock   *os.File
 	file   *os.File
-	// buffer holds records that are not in the file yet. Its first flushed bytes were passed to
-	// Flush without a sync.
+	// buffer holds records that are not in the file yet. The first flushed bytes of it are from
+	// before the last Flush without sync.
 	buffer  []byte
 	flushed int
 	size    int64
 	// syncedSize is the length of the file as of the last sync, up to which it holds only complete
 	// records.
 	syncedSize int64
-	// TornBytes is the length of the torn tail that was removed on opening.
+	// TornBytes is the length of a partly written record at the end of the file that Open removed,
+	// as left by a crash during a write.
 	TornBytes int64
 }
 
-// Open locks the folder and reads its contents.
+// Open locks the folder and returns its log, the identity of the replica and the stored state.
 func Open(folder string) (*Log, Identity, consensus.PersistentState, error) {
 	l := &Log{folder: folder}
 	var id Identity
@@ -271,7 +274,8 @@
 	return nil
 }
 
-// Append buffers entries and, unless it is nil, the hard state.
+// Append buffers entries and, unless it is nil, the hard state (term, vote and commit position) for
+// the next Flush.
 func (l *Log) Append(entries []*apiv1.LogEntry, hardState *apiv1.HardState) error {
 	for _, e := range entries {
 		if err := l.bufferRecord(kindEntry, e); err != nil {
@@ -293,13 +297,14 @@
 	return nil
 }
 
-// Flush writes the buffered records and waits until they are on disk if sync is set. Otherwise, it
-// leaves them in memory until the next Flush with sync, because they are not needed after a crash.
+// Flush writes the buffered records and waits until they are on disk if sync is set. Without sync,
+// it keeps them in memory until the next Flush with sync. Use this only for records that are not
+// needed after a crash.
 //
-// Thus, the file never holds more than one unsynced write. A power failure preserves or loses each
-// unsynced write independently. Of two, it could lose the first and preserve the second, which
-// leaves a gap before valid records. This cannot be distinguished from damage to synced data, so
-// the replica would refuse to start permanently.
+// As a result, the file never holds more than one unsynced write. A power failure preserves or
+// loses each unsynced write independently. With two unsynced writes, it could lose the first and
+// preserve the second, which leaves a gap before valid records. Such a gap cannot be distinguished
+// from damage to synced data, so the replica would permanently refuse to start.
 func (l *Log) Flush(sync bool) error {
 	if !sync {
 		l.flushed = len(l.buffer)
@@ -318,8 +323,8 @@
 	return nil
 }
 
-// Repair removes what a failed Flush left in the file and the buffer, so that the same records can
-// be written again. It returns an error as long as the disk fails.
+// Repair removes the records of a failed Flush from the file and the buffer, so that the caller can
+// append and flush the same records again. It returns an error as long as the disk rejects writes.
 func (l *Log) Repair() error {
 	l.buffer = l.buffer[:l.flushed]
 	if err := l.file.Truncate(l.syncedSize); err != nil {
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -167,9 +167,10 @@
 	assert.Equal(t, l.TornBytes, int64(0))
 }
 
-// Guards against taking a power failure for damage, after which the replica would not start. With
-// two commit positions written without a sync, the disk could lose the first write and preserve the
-// second. The gap before a valid record would look like a change to synced data.
+// Guards against mistaking the effect of a power failure for damage, after which the replica would
+// not start. If two commit positions were written without a sync, the disk could lose the first
+// write and preserve the second. The gap before a valid record would look like a change to synced
+// data.
 func TestLostWriteBeforePersistedWriteIsNotDamage(t *testing.T) {
 	folder := t.TempDir()
 	assert.NilError(t, WriteIdentity(folder, Identity{MemberID: 1, Name: "a"}))
