--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -18,8 +18,9 @@
 	"k8s.io/klog/v2"
 )
 
-// TLSFiles names the files of a process's certificate and key, and of the authority that signs its
-// peers' certificates. The zero value means plain text.
+// TLSFiles holds the names of the files with a process's certificate and key, and with the
+// certificate of the authority that signs its peers' certificates. The zero value means that
+// connections are not encrypted.
 type TLSFiles struct {
 	Certificate, Key, Authority string
 }
@@ -27,12 +28,12 @@
 // Enabled reports whether TLS is configured.
 func (f TLSFiles) Enabled() bool { return f.Certificate != "" }
 
-// reloadInterval is the minimum time between two checks for changed files.
+// reloadInterval is the minimum time between two checks whether the certificate file has changed.
 const reloadInterval = 10 * time.Second
 
 // Security holds a process's certificate and reloads it when its file changes, so that a renewed
-// certificate takes effect without a restart. Open connections are not affected. Security is safe
-// for concurrent use. A nil Security means plain text.
+// certificate takes effect without a restart. Open connections keep the previous certificate.
+// Security is safe for concurrent use. A nil Security means that connections are not encrypted.
 type Security struct {
 	files TLSFiles
 	// interval is reloadInterval, except in tests.
@@ -45,7 +46,8 @@
 	authority *x509.CertPool
 }
 
-// NewSecurity loads the files. It returns nil if TLS is not configured.
+// NewSecurity loads the certificate, the key and the authority from files. It returns nil if TLS is
+// not configured.
 func NewSecurity(files TLSFiles) (*Security, error) {
 	if !files.Enabled() {
 		return nil, nil
@@ -145,8 +147,8 @@
 }
 
 const (
-	// dialTimeout is ten round trips between distant regions. It is well below the one second after
-	// which TCP retransmits a lost SYN, because dialing again is faster.
+	// dialTimeout allows for ten round trips between distant regions. TCP retransmits a lost SYN
+	// only after one second, so it is faster to give up earlier and dial again.
 	dialTimeout         = 300 * time.Millisecond
 	idleConnTimeout     = 90 * time.Second
 	maxIdleConnsPerHost = 4
@@ -157,7 +159,7 @@
 	In, Out expvar.Int
 }
 
-// countingConn is a connection whose bytes are counted in traffic.
+// countingConn is a connection that adds the bytes read and written to traffic.
 type countingConn struct {
 	net.Conn
 	traffic *Traffic
@@ -177,7 +179,8 @@
 	return n, err
 }
 
-// ControlClient returns an HTTP client for control traffic whose bytes are counted in traffic.
+// ControlClient returns an HTTP client for calls between cactuspath processes and from cactusctl,
+// as opposed to forwarded requests. The bytes of its connections are counted in traffic.
 func (s *Security) ControlClient(traffic *Traffic) *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	t := &http.Transport{
@@ -206,9 +209,9 @@
 	return &http.Client{Transport: headerStripper{t}}
 }
 
-// headerStripper removes request headers that the peer processes do not need. The message of a
-// heartbeat has a hundred bytes and the default headers four times that, and a relay receives one
-// heartbeat per second from each of its nodes.
+// headerStripper removes request headers that the peer processes do not need. A relay receives one
+// heartbeat per second from each of its nodes, and the default headers are four times as long as
+// the message of a heartbeat, which has a hundred bytes.
 type headerStripper struct{ next http.RoundTripper }
 
 // RoundTrip sends the request without the unneeded headers.
@@ -219,7 +222,8 @@
 	return l.next.RoundTrip(r)
 }
 
-// OmitUnneededHeaders omits response headers that the peer processes do not need.
+// OmitUnneededHeaders wraps a handler of control traffic so that its responses do not contain
+// default headers that the peer processes do not need.
 func OmitUnneededHeaders(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header()["Date"] = nil
@@ -227,11 +231,11 @@
 	})
 }
 
-// Uncompressed returns the option of handlers whose responses are too short to benefit from
-// compression.
+// Uncompressed returns an option that disables compression in a handler, for responses that are too
+// short to benefit from it.
 func Uncompressed() connect.HandlerOption { return connect.WithCompression("gzip", nil, nil) }
 
-// URL returns the base URL of an address.
+// URL returns the base URL of a server at an address: https, or http if s is nil.
 func (s *Security) URL(address string) string {
 	if s == nil {
 		return "http://" + address
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -42,8 +42,8 @@
 }
 
 // Guards against running processes that keep their initial certificates. After a renewal with a new
-// authority, such a client could open no more connections: it would trust the old authority and
-// present the old certificate.
+// authority, such a client could not open connections any more, because it would trust the old
+// authority and present the old certificate.
 func TestRenewedCertificatesAreUsedWithoutRestart(t *testing.T) {
 	folder := t.TempDir()
 	files := testcert.Write(t, folder)
