--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,7 @@
 // Package settings reads the settings of a process from JSON with comments. A file is checked
-// completely before any of its settings takes effect. While the process runs, it applies a changed
-// file only in part; the other settings stay as they were at the start.
+// completely before any of its settings takes effect. If the file changes while the process runs,
+// only some of the settings take effect (see process.WatchSettings); the others keep their values
+// until a restart.
 package settings
 
 import (
@@ -16,7 +17,8 @@
 	"cactuspath/internal/transport"
 )
 
-// Settings holds the settings of a process. At least one of Node and Control is set.
+// Settings holds the settings of a process. The process runs a node if Node is set and a control
+// replica if Control is set; at least one of them is.
 type Settings struct {
 	Host, DataCenter, Region string
 	Node                     *Node
@@ -28,26 +30,30 @@
 	// GCPercent sets the heap growth between two garbage collections, in percent of the memory in
 	// use. A lower value saves memory but costs processor time.
 	GCPercent int
-	// StopTimeout limits the duration of a planned stop.
+	// StopTimeout limits the duration of a planned stop; requests that are still in flight at its
+	// end are cut off.
 	StopTimeout time.Duration
-	// Retry limits retries. If it is zero, the limits in the estate apply.
+	// Retry limits the retries of nodes. If it is zero, the limits in the estate apply.
 	Retry RetryBudget
 	// Metrics is the address that serves metrics to other hosts, or empty to serve none.
 	Metrics string
-	// Disabled is the set of disabled mechanisms of the decision code.
+	// Disabled is the set of mechanisms that are switched off, such as the refusal of requests when
+	// a process is overloaded.
 	Disabled mechanism.Set
-	// Adapter connects the process to an external platform; nil for none.
+	// Adapter selects and configures the adapter to an external platform; nil means none.
 	Adapter *Adapter
 }
 
-// RetryBudget limits the retries that all nodes together send to one service. In each Window, they
-// may send at most Ratio times the number of its requests plus Slack.
+// RetryBudget limits the retries that all nodes together send to one service. In each period of
+// length Window, they may send at most Ratio times the number of requests to the service, plus
+// Slack.
 type RetryBudget struct {
 	Ratio, Slack float64
 	Window       time.Duration
 }
 
-// Adapter configures the code that implements the formats of a platform.
+// Adapter selects the adapter of a platform, which is the code that translates the formats of the
+// platform, and configures it.
 type Adapter struct {
 	Name string
 	// Listen are the addresses on which the platform calls this process.
@@ -67,26 +73,30 @@
 	Service string
 	// Backend is the address of the backend server, if known in advance.
 	Backend string
-	// WatchControl makes the node watch the control replicas, so that it receives changes without
-	// delay.
+	// WatchControl makes the node watch the control replicas, so that it receives configuration
+	// changes within milliseconds instead of with its heartbeats.
 	WatchControl bool
 }
 
 // Control holds the settings of a control replica.
 type Control struct {
-	// Address is the address at which others reach the replica. Listen is its listen address and
-	// defaults to Address.
+	// Name identifies the replica to operators. Address is the address at which other processes
+	// reach it. Listen is its listen address and defaults to Address. DataFolder is the directory
+	// of its log and snapshot.
 	Name, Address, Listen, DataFolder string
 	// Founders maps the names of the founding members to their addresses.
 	Founders  map[string]string
 	Operators []Operator
-	// DataCenters are the data centres that operators may evacuate; any if empty.
+	// DataCenters lists the data centres that operators may evacuate. If it is empty, any name is
+	// accepted.
 	DataCenters []string
-	// Group lets the replicas manage their membership themselves; nil leaves this to operators.
+	// Group makes the replicas add and remove members of the control group themselves. If it is
+	// nil, operators do so.
 	Group *Group
 }
 
-// Group configures a control group that forms by itself.
+// Group configures a control group whose replicas bootstrap it and replace failed members without
+// operators.
 type Group struct {
 	// Tolerate is the number of replicas that may fail at the same time.
 	Tolerate int
@@ -95,8 +105,9 @@
 	Bootstrap bool
 }
 
-// Operator is a person or program that may change the listed institutions and, with Hosts, hosts
-// and replicas.
+// Operator is a person or program that may submit estates for the listed institutions. If Hosts is
+// set, the operator may also announce planned stops of hosts and change the members of the control
+// group.
 type Operator struct {
 	Name, TokenSHA256 string
 	Institutions      []string
@@ -105,14 +116,14 @@
 
 const (
 	defaultStopTimeout = 30 * time.Second
-	// defaultGCPercent is the default of the Go runtime. Below minGCPercent, the garbage collector
-	// uses more processor time than the work itself.
+	// defaultGCPercent is the default of the Go runtime. With values below minGCPercent, the
+	// garbage collector would use more processor time than the rest of the process.
 	defaultGCPercent = 100
 	minGCPercent     = 10
 	maxGCPercent     = 1000
 )
 
-// InvalidError lists all problems of a settings file.
+// InvalidError reports that a settings file is invalid and lists all its problems.
 type InvalidError struct {
 	File     string
 	Problems []jsonc.Problem
@@ -140,7 +151,8 @@
 	return s, nil
 }
 
-// Parse reads and checks settings.
+// Parse reads settings from JSON with comments. If it returns problems, the settings must not be
+// used.
 func Parse(text []byte) (*Settings, []jsonc.Problem) {
 	reader, root := jsonc.Parse(text)
 	if len(reader.Problems()) > 0 {
@@ -171,7 +183,8 @@
 	return s, reader.Problems()
 }
 
-// readPolicy reads {"disable": [names]}.
+// readPolicy reads an object such as {"disable": ["NAME", ...]} and returns the set of the named
+// mechanisms.
 func readPolicy(n jsonc.Node) mechanism.Set {
 	var disabled mechanism.Set
 	n.Object(map[string]func(jsonc.Node){"disable": func(list jsonc.Node) {
