--- a/internal/logs/decision.go
+++ b/internal/logs/decision.go
@@ -10,13 +10,14 @@
 
 const (
 	// routinePerSecond limits the log lines about requests without a failure. Lines about failures
-	// have the separate limit failurePerSecond, because these are the lines needed in an
-	// investigation. At about 250 bytes per line, both limits together allow 175 KB per second.
+	// have the separate limit failurePerSecond, so that routine lines cannot displace them: they
+	// are the ones needed to investigate a failure. At about 250 bytes per line, both limits
+	// together allow 175 KB per second.
 	routinePerSecond = 400
 	failurePerSecond = 300
 )
 
-// rateLimit allows a number of lines per second.
+// rateLimit allows at most perSecond lines in each second.
 type rateLimit struct {
 	perSecond int
 	second    int64
@@ -31,7 +32,7 @@
 	return b.count <= b.perSecond
 }
 
-// limiter limits the log lines about requests of a process.
+// limiter limits how many log lines about requests the process writes per second.
 type limiter struct {
 	mu                sync.Mutex
 	routine, failures rateLimit
@@ -55,11 +56,13 @@
 	return false, 0
 }
 
-// Skipped returns the number of lines about requests that exceeded the limits.
+// Skipped returns the number of log lines about requests that were not written because they
+// exceeded the limits.
 func Skipped() int64 { return requestLines.skipped.Load() }
 
-// Decision logs a decision about a request and the data it is based on. Set failure for decisions
-// that affect the caller. Their lines have a separate limit, so that a flood of routine lines does
+// Decision logs a decision about a request, with the data on which it is based as keys and values,
+// unless the limit of lines per second is reached. Set failure for decisions that make a request
+// fail or otherwise affect its caller. These have a separate limit, so that many routine lines do
 // not suppress them.
 func Decision(failure bool, message string, keysAndValues ...any) {
 	ok, skipped := requestLines.allow(failure)
--- a/internal/logs/writer.go
+++ b/internal/logs/writer.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// bufferBytes limits the lines that are buffered while the reader of the output is slow or
-	// gone. It holds about two seconds of log lines of a busy node.
+	// bufferBytes limits the lines that are buffered while the output is read slowly or not at all.
+	// The buffer holds about two seconds of log lines of a busy node.
 	bufferBytes = 256 << 10
-	// batchInterval is the time for which lines are collected before they are written, so that a
-	// busy process makes ten system calls per second instead of a thousand.
+	// batchInterval is the time for which lines are collected before they are written together, so
+	// that a busy process makes ten write calls per second instead of a thousand.
 	batchInterval = 100 * time.Millisecond
 )
 
-// Writer is an io.Writer that never blocks. If the output is not read and the buffer is full, it
-// drops whole lines. It is safe for concurrent use.
+// Writer is an io.Writer that buffers log lines and writes them to an output in the background, so
+// that Write never blocks. If the output is not read and the buffer is full, it drops whole lines.
+// It is safe for concurrent use.
 type Writer struct {
 	out io.Writer
 
@@ -35,14 +36,14 @@
 	reported int64
 }
 
-// NewWriter returns a running writer to out.
+// NewWriter returns a Writer to out and starts its goroutine, which Close stops.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{out: out, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write buffers or drops one line. It never returns an error.
+// Write buffers one line, or drops it if the buffer is full. It never returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	if w.closed || len(w.pending)+len(line) > bufferBytes {
@@ -87,7 +88,8 @@
 	}
 }
 
-// Close writes the buffered lines and waits for this at most the given time.
+// Close writes the buffered lines and stops the writer. It waits at most for the given time, so
+// that an output that is not read does not block the exit.
 func (w *Writer) Close(timeout time.Duration) {
 	w.mu.Lock()
 	w.closed = true
