--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -26,7 +26,8 @@
 	return "the caller's node was short of processor time and refused the request; it did not run"
 }
 
-// finalMessages are the messages that the caller's node logs at the end of a request.
+// finalMessages are the messages that the node that received a request from its caller logs at the
+// end of the request.
 var finalMessages = []string{"Given up", "Answered", "Caller gone", "Caller disconnected before its request was read", "Request refused: process overloaded"}
 
 // finalEntry returns the last entry of a request that has one of the finalMessages.
@@ -42,7 +43,8 @@
 	return Entry{}, false
 }
 
-// reasonTexts describes the reasons of gate refusals and the verdicts on attempts.
+// reasonTexts maps the codes in log lines, which are reasons of gate refusals and outcomes of
+// attempts, to explanations.
 var reasonTexts = map[string]string{
 	"queue-full":              "the service was full",
 	"too-late":                "the request could not have finished in the time that was left",
@@ -79,8 +81,9 @@
 	return fmt.Sprintf("%s: %s", final.Value("fault"), text)
 }
 
-// gateState describes what a gate knew of its backend server when it refused a request because the
-// queue was full or the request would have been too late. It is empty for other refusals.
+// gateState describes the load of the backend server that a gate logged when it refused a request
+// because its queue was full or the request could not finish in time. It returns "" for refusals
+// for other reasons.
 func gateState(refusal Entry) string {
 	if reason := refusal.Value("reason"); reason != "queue-full" && reason != "too-late" {
 		return ""
@@ -106,8 +109,8 @@
 	return Entry{}, false
 }
 
-// explainAnswered describes the answer of an "Answered" entry. For a server error, it also describes
-// the first call of the request that was given up.
+// explainAnswered describes the response that an "Answered" entry reports. For a server error, it
+// also describes the first failed call that a backend server made while running the request.
 func (t *Timeline) explainAnswered(final Entry) string {
 	text := "the backend server answered with status " + final.Value("status") + " after " + final.Value("took")
 	if err := final.Value("err"); err != "" && err != "null" && err != "<nil>" {
@@ -124,7 +127,7 @@
 	return text + "; the logs have no \"Given up\" line for a call that it made"
 }
 
-// Write prints the entries, indented by nesting depth, and the cause.
+// Write prints the entries, with those of nested calls indented, and then the cause.
 func (t *Timeline) Write(out io.Writer) error {
 	var b strings.Builder
 	for _, e := range t.Entries {
@@ -141,6 +144,6 @@
 	return err
 }
 
-// omittedFields are not printed: they repeat from line to line, or are of use only in a comparison
-// with other requests.
+// omittedFields are not printed, because their values are the same in most lines or useful only in
+// a comparison with other requests.
 var omittedFields = map[string]bool{"request": true, "content": true, "alike": true, "revision": true}
--- a/internal/explain/entry.go
+++ b/internal/explain/entry.go
@@ -7,11 +7,12 @@
 	"strings"
 )
 
-// Entry is a structured log line.
+// Entry is a parsed log line that consists of a message and fields.
 type Entry struct {
 	// Source is the base name of the log file.
 	Source string
-	// Time is the month, day and time of day as logged. Within a year, it sorts lexically.
+	// Time is the month, day and time of day as logged. Within a year, the order of these strings
+	// is the order in time.
 	Time    string
 	Message string
 	Fields  []Field
@@ -57,5 +58,6 @@
 	return ""
 }
 
-// depth returns the nesting depth of the entry's request; the request that a caller sent has depth 0.
+// depth returns the nesting depth of the entry's request: 0 for the request of a caller, 1 for a
+// call that a backend server made while running it, and so on.
 func (e Entry) depth() int { return strings.Count(e.Value("request"), ".") }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -10,8 +10,9 @@
 	"gotest.tools/v3/golden"
 )
 
-// Guards against a wrong selection or order of entries and a wrong cause, also for an ID that is a
-// prefix of another. The logs in testdata are excerpts from a run of twelve nodes.
+// Guards against a wrong selection or order of log entries and a wrong cause, including entries of
+// another request whose ID begins with the ID of the requested one. The logs in testdata are
+// excerpts from a run of twelve nodes.
 func TestRecordedRequests(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.log")
 	assert.NilError(t, err)
@@ -64,7 +65,8 @@
 		"host-2 had 6 of 6 slots in use and 0 waiting, and expected the request to take 425.9ms, 7 times the usual; its siblings were as busy")
 }
 
-// Guards against naming the load of a gate that refused an earlier attempt as the cause.
+// Guards against reporting the load of a gate that refused an earlier attempt as the cause,
+// although a later attempt failed for another reason.
 func TestEarlierRefusalIsNotTheCause(t *testing.T) {
 	s := readLines(t, "51c2",
 		`"Gate decided" request="51c2" attempt="a-1-1" host="host-1" outcome="refused" reason="queue-full" running=6 waiting=9 slots=6 service="80ms"`,
@@ -73,8 +75,9 @@
 	assert.Equal(t, s.Cause(), "outcome-unknown: the connection to the backend server broke during the request, so the request may have run")
 }
 
-// Guards against missing lines that name only an attempt of the request.
-func TestLinesThatNameTheAttemptOnlyAreFound(t *testing.T) {
+// Guards against leaving out log lines that contain only the ID of an attempt, and not the ID of
+// the request.
+func TestLinesWithOnlyAnAttemptIDAreFound(t *testing.T) {
 	timeline := readLines(t, "51c2",
 		`"Backend server rejected" attempt="a-3-1" host="host-1" status=503`,
 		`"Attempt" request="51c2" attempt="a-3-1" to="host-1"`,
--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -22,8 +22,9 @@
 // maxLineBytes bounds the length of a log line. Read fails on longer lines.
 const maxLineBytes = 1 << 20
 
-// Read collects the entries of a request from log files. Some entries name only an attempt of the
-// request, so a second pass collects these once all attempts are known.
+// Read collects the entries of a request from log files. Some entries contain only the ID of an
+// attempt instead of that of the request. Read collects these in a second pass, when the IDs of all
+// attempts are known.
 func Read(request string, files []string) (*Timeline, error) {
 	t := &Timeline{Request: request}
 	attempts := map[string]bool{}
