--- a/cmd/cactusctl/cgo.go
+++ b/cmd/cactusctl/cgo.go
@@ -1,4 +1,4 @@
 package main
 
-// Links the program against the system's C library, like cactuspath.
+// Links the program against the system's C library, as cmd/cactuspath does.
 import _ "runtime/cgo"
--- a/cmd/cactusctl/change.go
+++ b/cmd/cactusctl/change.go
@@ -11,8 +11,8 @@
 	"cactuspath/internal/operator"
 )
 
-// changeSpec describes a command that submits one change to the object that its argument
-// names.
+// changeSpec describes a command that submits a change of one object, such as a host,
+// which its argument names.
 type changeSpec struct {
 	use, short string
 	// send submits the change.
@@ -20,13 +20,13 @@
 	// wait, if not nil, waits until the change has taken effect. It is skipped with
 	// --announce-only.
 	wait func(ctx context.Context, c *operator.Client, name string, record *apiv1.AuditRecord) error
-	// done returns the message printed after wait, and until describes the awaited state
-	// in the help.
+	// done returns the message that is printed after wait has returned. until describes
+	// in the help the state that wait waits for.
 	done  func(name string) string
 	until string
 }
 
-// newChangeCommand returns the command that s describes.
+// newChangeCommand returns the cobra command for s.
 func newChangeCommand(f *flags, s changeSpec) *cobra.Command {
 	var changeID string
 	var announceOnly bool
--- a/cmd/cactusctl/emulate.go
+++ b/cmd/cactusctl/emulate.go
@@ -27,7 +27,8 @@
 
 const withoutFlag = "without"
 
-// reducedVariants returns the variants with disabled mechanisms that --without lists.
+// reducedVariants returns the variants of the emulation that --without requests, each
+// with some mechanisms disabled.
 func reducedVariants(cmd *cobra.Command) ([]emulator.Variant, error) {
 	specs, err := cmd.Flags().GetStringSlice(withoutFlag)
 	if err != nil {
--- a/cmd/cactusctl/main.go
+++ b/cmd/cactusctl/main.go
@@ -48,8 +48,9 @@
 	os.Exit(exitCode(err))
 }
 
-// exitCode returns ExitUsage for usage errors, which cobra does not distinguish from other
-// errors by itself, and otherwise the exit code of the command's outcome.
+// exitCode returns ExitUsage for errors in the command line, which cobra does not
+// distinguish from other errors, and otherwise the exit code for the error of the
+// command.
 func exitCode(err error) int {
 	var usage *usageError
 	if errors.As(err, &usage) {
@@ -163,7 +164,7 @@
 	return text, doc, nil
 }
 
-// exactArgs is cobra.ExactArgs with a usageError.
+// exactArgs is like cobra.ExactArgs, but returns a usageError.
 func exactArgs(n int) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(n)(cmd, args); err != nil {
--- a/cmd/cactusctl/simulation.go
+++ b/cmd/cactusctl/simulation.go
@@ -13,7 +13,8 @@
 // virtual time.
 type simulation struct {
 	use, short, long string
-	// defaultPolicies describes, in the help, the policies that run if --policy is not set.
+	// defaultPolicies is the description, for the help, of the policies that run if
+	// --policy is not set.
 	defaultPolicies string
 	policyNames     func() []string
 	run             func(cmd *cobra.Command, f *flags, file string, policies []string, seed uint64) error
