--- a/cmd/cactuspath/cgo.go
+++ b/cmd/cactuspath/cgo.go
@@ -1,5 +1,5 @@
 package main
 
-// Links the program against the system's C library, as the supported platforms
+// Links the program against the system's C library, which the supported platforms
 // require of every program.
 import _ "runtime/cgo"
--- a/cmd/cactuspath/logs.go
+++ b/cmd/cactuspath/logs.go
@@ -12,7 +12,8 @@
 	"cactuspath/internal/logs"
 )
 
-// flushTimeout limits the wait at exit for a standard output that nobody reads.
+// flushTimeout limits how long the process waits at exit for its log lines to be
+// written, in case standard output is not read.
 const flushTimeout = 300 * time.Millisecond
 
 // startLogging makes klog write to standard output through a writer that never blocks. The
