--- a/internal/replay/node.go
+++ b/internal/replay/node.go
@@ -35,7 +35,7 @@
 	load gate.Load
 }
 
-// startGate creates a new gate, as at the start of a node.
+// startGate replaces the node's gate by a new one, as the start of a node process does.
 func (n *node) startGate() {
 	n.incarnation++
 	n.gate = gate.New(n.host, n.config(), n.sim.Now())
@@ -61,8 +61,8 @@
 	return c
 }
 
-// inTransit counts the requests that callers have sent to the node and its gate does
-// not hold.
+// inTransit returns the number of requests that callers have sent to the node and that its
+// gate does not hold.
 func (n *node) inTransit() int {
 	total := 0
 	for _, c := range n.sim.callers {
@@ -87,8 +87,8 @@
 
 func callerName(c *caller) string { return string(rune('A' + c.index)) }
 
-// scheduleTimer schedules the gate's next timer, which ends requests that have waited
-// for too long.
+// scheduleTimer schedules the gate's next timer, at which the gate ends requests that have
+// waited too long in its queue.
 func (n *node) scheduleTimer() {
 	at, ok := n.gate.NextTimer()
 	if !ok {
@@ -190,8 +190,9 @@
 	})
 }
 
-// falsifyReport applies the faults that the trace sets for load reports: delayed,
-// frozen, or idle while the server is busy.
+// falsifyReport applies the faults that the trace sets for load reports: they contain an
+// earlier load (ReportDelay), always the same load (ReportFrozen), or no requests although
+// the server is busy (ReportIdle).
 func (n *node) falsifyReport(r gate.Report) gate.Report {
 	r.Incarnation = n.incarnation
 	if n.reportFrozen && len(n.loadHistory) > 0 {
@@ -219,8 +220,8 @@
 	}
 }
 
-// restart restarts the node: the state of the gate and all connections are lost, and
-// the backend server keeps running.
+// restart simulates a restart of the node process: the state of the gate and all
+// connections are lost, but the backend server continues to run.
 func (n *node) restart() {
 	lost := n.requests
 	n.requests = map[gate.Handle]*attempt{}
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -33,9 +33,10 @@
 	return results
 }
 
-// Replays every committed trace and checks the expectations in its header: no request
-// lost or run twice, every "not run" true, the budget for load reports kept in every
-// window of one second, and bounds on latencies.
+// Replays every committed trace and checks the expectations in its header. They include
+// that no request is lost or run twice, that every request reported as "not run" has not
+// run, that the budget for load reports is kept in every window of one second, and limits
+// on latencies.
 func TestTracesMeetTheirExpectations(t *testing.T) {
 	files, err := filepath.Glob("../../traces/*.jsonl")
 	assert.NilError(t, err)
@@ -53,8 +54,8 @@
 	}
 }
 
-// The same trace and seed must give the same bytes, or a missed expectation could not
-// be reproduced.
+// Guards against failures that cannot be reproduced: the same trace and seed must give the
+// same results, byte for byte.
 func TestReplayIsDeterministic(t *testing.T) {
 	render := func() string {
 		trace := readTrace(t, "../../traces/everything.jsonl")
@@ -67,8 +68,9 @@
 	assert.Equal(t, render(), render())
 }
 
-// Without the report budget, a fluctuating load causes more reports than the budget
-// allows. This shows that it is the budget that keeps the other traces within it.
+// Checks that a trace with fluctuating load exceeds the budget for load reports if the
+// budget is not enforced. Otherwise the traces would keep within the budget even if its
+// enforcement were broken.
 func TestReportsExceedBudgetWhenItIsOff(t *testing.T) {
 	trace := readTrace(t, "../../traces/alder-finch-flicker-300.jsonl")
 	variant, err := Find("cactus-no-measure-budget")
@@ -77,8 +79,9 @@
 	assert.Assert(t, r.WorstReports > trace.Header.Service.ReportsPerSecond, "%d reports in the worst second", r.WorstReports)
 }
 
-// Guards against gates whose knowledge of each other depends on the number of callers:
-// the same traffic must not be slower when more callers share it.
+// Guards against latency that grows with the number of callers, which happens if the gates'
+// knowledge of each other's load depends on that number. The same traffic must not be slower
+// when it comes from more callers.
 func TestLatencyDoesNotGrowWithCallers(t *testing.T) {
 	variant, err := Find(ProductionVariant)
 	assert.NilError(t, err)
--- a/internal/replay/result.go
+++ b/internal/replay/result.go
@@ -19,7 +19,8 @@
 	callUnknown
 )
 
-// Result summarizes one run.
+// Result summarizes one run. Answered, Failed, NotRun, Unknown and Lost count the calls by
+// final outcome; lost calls have none.
 type Result struct {
 	Policy      string  `json:"policy"`
 	Arrived     int     `json:"arrived"`
@@ -34,20 +35,22 @@
 	P99         float64 `json:"p99Ms"`
 	P999        float64 `json:"p999Ms"`
 	Max         float64 `json:"maxMs"`
-	// RefusedP99 is the p99 of the time until a call ended as not run.
+	// RefusedP99 is the 99th percentile of the time until a call ended as not run.
 	RefusedP99 float64 `json:"refusedP99Ms"`
 	// GoodputShare is the share of the arrived calls that were answered.
 	GoodputShare float64 `json:"goodputShare"`
 	Attempts     float64 `json:"attemptsPerCall"`
 	Moves        float64 `json:"movesPerCall"`
 	Reports      float64 `json:"reportsPerCall"`
-	// WorstReports and WorstBytes are the maxima over all windows of one second.
+	// WorstReports is the largest number of load reports in any sliding window of one
+	// second, and WorstBytes their size.
 	WorstReports int `json:"worstWindowReports"`
 	WorstBytes   int `json:"worstWindowBytes"`
-	// QuietP99 is the p99 of the last caller, for traces that test fairness.
+	// QuietP99 is the 99th percentile of the latency of the caller with the highest index,
+	// which sends few requests in traces that test fairness.
 	QuietP99 float64 `json:"quietP99Ms"`
-	// TailP99 is the p99 of the calls that arrive in the last fifth of the trace, for
-	// traces that test recovery.
+	// TailP99 is the 99th percentile of the latency of calls that arrive in the last fifth
+	// of the trace, for traces that test recovery.
 	TailP99 float64 `json:"tailP99Ms"`
 }
 
@@ -62,7 +65,7 @@
 	attempts          int
 	moves             int
 	reports           []time.Duration
-	// calls counts the calls that completed.
+	// calls counts the calls that have a final outcome.
 	calls int
 }
 
@@ -150,7 +153,7 @@
 	return worst
 }
 
-// metrics returns every figure under the name that an Expect uses.
+// metrics returns the values of all metrics by the names used in Expect.Metric.
 func (r *Result) metrics() map[string]float64 {
 	return map[string]float64{
 		"answered": float64(r.Answered), "failed": float64(r.Failed), "notRun": float64(r.NotRun), "unknown": float64(r.Unknown),
@@ -162,7 +165,7 @@
 	}
 }
 
-// Miss is an expectation that the run did not meet.
+// Miss is an expectation that was not met, with the value that was measured.
 type Miss struct {
 	Expect Expect
 	Got    float64
@@ -180,8 +183,9 @@
 	return fmt.Sprintf("%s is %.3f, less than the %.3f stated", what, m.Got, *m.Expect.Min)
 }
 
-// Check compares results with the trace's expectations. It skips and counts the
-// expectations whose policies were not run.
+// Check returns the expectations of the trace that the results do not meet. It skips
+// expectations that refer to a policy without a result, and returns their number in
+// unchecked.
 func Check(trace *Trace, results []*Result) (misses []Miss, unchecked int) {
 	byName := map[string]*Result{}
 	for _, r := range results {
@@ -205,8 +209,8 @@
 	return misses, unchecked
 }
 
-// PoliciesNeeded lists the policies that a trace's expectations refer to, and the one
-// that the nodes run.
+// PoliciesNeeded returns the names of the variants that must be run to check the trace:
+// ProductionVariant and those that the expectations refer to.
 func PoliciesNeeded(trace *Trace) []string {
 	seen := map[string]bool{ProductionVariant: true}
 	for _, e := range trace.Header.Expect {
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -29,7 +29,7 @@
 	budget *retry.Budget
 }
 
-// call is one request from its arrival to its final outcome.
+// call is one request from its arrival to its final outcome, with all of its attempts.
 type call struct {
 	arrival     Arrival
 	caller      *caller
@@ -58,7 +58,8 @@
 // call that has not completed by then counts as lost.
 const completionGrace = time.Minute
 
-// Run replays the trace with a variant.
+// Run simulates the trace with a variant and returns the results. Runs with the same
+// arguments give the same results.
 func Run(trace *Trace, variant Variant, seed uint64) *Result {
 	sim := &simulation{trace: trace, variant: variant, random: rand.New(rand.NewPCG(seed, 99)), result: newCollector(variant.Name, trace)}
 	sim.build()
@@ -158,8 +159,9 @@
 	return to
 }
 
-// bestServer returns the node that would finish the call first. It uses state that no
-// caller has: every server's speed, its queue, and the requests in transit to it.
+// bestServer returns the node that is expected to finish the call first. It uses every
+// server's current speed, its queue and the requests in transit to it, which real callers
+// do not know.
 func (sim *simulation) bestServer(k *call) *node {
 	var best *node
 	var soonest float64
@@ -193,8 +195,8 @@
 	case jobFailed:
 		sim.complete(a.call, callFailed)
 	case jobKilled:
-		// The node saw its backend server end while it held the request. The
-		// request may have run, and the node reports it so.
+		// The backend server crashed while the request was running. The node reports
+		// that the request may have been executed.
 		sim.applyRetryRules(a, retry.Lost, nil)
 	}
 }
@@ -204,7 +206,7 @@
 	a.call.caller.pool.Done(sim.Now(), a.to, reached)
 }
 
-// onRefused handles a refusal by the gate.
+// onRefused handles a gate's response that it refused the attempt, which was not run.
 func (sim *simulation) onRefused(a *attempt, ended retry.Result) {
 	if a.settled {
 		return
@@ -222,8 +224,9 @@
 	sim.applyRetryRules(a, retry.Moved, a.call.caller.pool.Get(host))
 }
 
-// onRestarted handles the response of a node that has restarted, and so lost the state
-// of its gate, since the caller learned its incarnation.
+// onRestarted handles the response of a node that has restarted since the caller learned
+// its incarnation number. The gate has lost its state, so the caller sends a new attempt to
+// the same node.
 func (sim *simulation) onRestarted(a *attempt, incarnation uint64) {
 	if a.settled {
 		return
@@ -233,7 +236,8 @@
 	sim.applyRetryRules(a, retry.Restarted, a.to)
 }
 
-// applyRetryRules decides what follows an attempt that ended without an answer.
+// applyRetryRules decides after an attempt without an answer whether the call is retried
+// or ends. target is the endpoint for a retry at a named one.
 func (sim *simulation) applyRetryRules(a *attempt, ended retry.Result, target *balancer.Candidate) {
 	k := a.call
 	if ended != retry.Moved && ended != retry.Restarted {
@@ -255,8 +259,8 @@
 	}
 }
 
-// onLost handles a broken connection: the caller revokes the attempt at its gate, whose
-// answer tells whether it ran.
+// onLost handles a lost connection to a node. The caller revokes the attempt at the node's
+// gate, which responds whether the attempt has run.
 func (sim *simulation) onLost(a *attempt) {
 	if a.settled {
 		return
--- a/internal/replay/server.go
+++ b/internal/replay/server.go
@@ -6,7 +6,8 @@
 	"cactuspath/internal/virtual"
 )
 
-// server models a backend server: its running requests all proceed at its speed.
+// server models a backend server. All of its running requests proceed at the same speed,
+// which changes in the trace set.
 type server struct {
 	clock    *virtual.Clock
 	speed    float64
@@ -24,7 +25,8 @@
 	jobKilled
 )
 
-// failFastLatency is how long a server in fail-fast mode takes to respond.
+// failFastLatency is how long a server takes to respond that fails every request
+// immediately (ServerChange.FailFast).
 const failFastLatency = 100 * time.Microsecond
 
 func newServer(c *virtual.Clock) *server {
--- a/internal/replay/trace.go
+++ b/internal/replay/trace.go
@@ -32,12 +32,12 @@
 	Callers int     `json:"callers"`
 	// Distance is the one-way delay between any two hosts.
 	Distance Micros `json:"distance"`
-	// Duration is the latest time of an arrival.
+	// Duration is the length of the trace. No request arrives later.
 	Duration Micros   `json:"duration"`
 	Expect   []Expect `json:"expect"`
 }
 
-// Service is the configuration of the service and the number of its backend servers.
+// Service contains the settings of the service. Servers is the number of its backend servers.
 type Service struct {
 	Servers          int    `json:"servers"`
 	Slots            int    `json:"slots"`
@@ -49,8 +49,9 @@
 	SlowStart        Micros `json:"slowStart"`
 }
 
-// Expect bounds a metric of a policy's run to at most Max or at least Min, either
-// the value itself or its ratio to the value of another policy on the same trace.
+// Expect requires a metric of a run with Policy to be at most Max or at least Min. If
+// RatioTo is set, the bounds apply to the ratio to the same metric of a run of the trace
+// with that policy.
 type Expect struct {
 	Policy  string   `json:"policy"`
 	Metric  string   `json:"metric"`
@@ -59,13 +60,13 @@
 	Min     *float64 `json:"min,omitempty"`
 }
 
-// Arrival is one request.
+// Arrival is a request that arrives at a caller at time At.
 type Arrival struct {
 	At     Micros `json:"at"`
 	Caller int    `json:"caller"`
-	// Demand is the service time at speed 1.
+	// Demand is the time that the request takes at a backend server with speed 1.
 	Demand Micros `json:"demand"`
-	// Deadline is relative to the arrival.
+	// Deadline is the time from the arrival to the deadline.
 	Deadline   Micros `json:"deadline"`
 	Idempotent bool   `json:"idempotent,omitempty"`
 }
@@ -79,13 +80,18 @@
 	// FailFast makes the server fail every request immediately.
 	FailFast *bool `json:"failFast,omitempty"`
 	Draining *bool `json:"draining,omitempty"`
-	// Cold marks the server as just started, so that its gate ramps up its load.
+	// Cold makes the gate treat the server as just started and increase its load gradually
+	// (slow start).
 	Cold bool `json:"cold,omitempty"`
-	// Kill ends the requests in flight; the server accepts new ones immediately.
+	// Kill crashes the server: its running requests are lost. It accepts new requests
+	// immediately.
 	Kill bool `json:"kill,omitempty"`
-	// RestartNode restarts the node; the gate's state and all connections are lost.
+	// RestartNode restarts the node process, so that the state of its gate and all
+	// connections are lost. The backend server continues to run.
 	RestartNode bool `json:"restartNode,omitempty"`
-	// ReportDelay, ReportIdle and ReportFrozen falsify the load reports of the gate.
+	// ReportDelay, ReportIdle and ReportFrozen falsify the load reports that the gate
+	// attaches to responses. They contain the load of ReportDelay ago, no running or waiting
+	// requests, or always the same load.
 	ReportDelay  *Micros `json:"reportDelay,omitempty"`
 	ReportIdle   *bool   `json:"reportIdle,omitempty"`
 	ReportFrozen *bool   `json:"reportFrozen,omitempty"`
@@ -93,8 +99,9 @@
 	LoseAnswers *float64 `json:"loseAnswers,omitempty"`
 }
 
-// Load generates arrivals, so that a trace of a hundred thousand requests fits on one
-// line. All random draws derive from the seed.
+// Load is a line of a trace that generates random arrivals between From and To, so that a
+// trace of a hundred thousand requests fits on one line. All random draws derive from the
+// seed.
 type Load struct {
 	From Micros `json:"from"`
 	To   Micros `json:"to"`
@@ -102,15 +109,17 @@
 	PerSecond  float64 `json:"perSecond"`
 	MeanDemand Micros  `json:"meanDemand"`
 	Deadline   Micros  `json:"deadline"`
-	// IdempotentShare is the share of requests that may run twice.
+	// IdempotentShare is the share of idempotent requests, which may be run twice.
 	IdempotentShare float64 `json:"idempotentShare"`
-	// FirstCaller and LastCaller bound the callers that the load comes from, inclusively.
+	// FirstCaller and LastCaller are the first and the last index of the callers that send
+	// these requests.
 	FirstCaller int `json:"firstCaller"`
 	LastCaller  int `json:"lastCaller"`
 }
 
-// SpeedShifts generates speed changes at every server: phases whose length is drawn
-// between Shortest and Longest, each of them slow with probability SlowShare.
+// SpeedShifts is a line of a trace that generates random speed changes at every server
+// between From and To. The length of each phase is drawn between Shortest and Longest. The
+// server has the speed SlowSpeed in a phase with probability SlowShare.
 type SpeedShifts struct {
 	From      Micros  `json:"from"`
 	To        Micros  `json:"to"`
--- a/internal/replay/variants.go
+++ b/internal/replay/variants.go
@@ -16,13 +16,16 @@
 // Variant is a configuration of the decision code that a trace can be replayed with.
 type Variant struct {
 	Name string
-	// Build returns the balancing policy of one caller.
+	// Build returns a new balancing policy, which one caller uses to pick endpoints.
 	Build func(*rand.Rand) balancer.Policy
-	// Siblings makes the gates exchange load reports and move requests to each other.
+	// Siblings lets the gates of the service exchange load reports and move waiting requests
+	// to each other.
 	Siblings bool
-	// Reports attaches load reports to responses; they count against no budget.
+	// Reports attaches load reports to responses. The budget for load reports does not apply
+	// to them.
 	Reports bool
-	// Omniscient picks servers by their actual state instead of the policy.
+	// Omniscient replaces the policy by a choice based on the current state of every
+	// server, which real callers do not know. It serves as an upper bound.
 	Omniscient bool
 	// NoRetryBudget removes the limit on retries.
 	NoRetryBudget bool
