--- a/internal/virtual/clock.go
+++ b/internal/virtual/clock.go
@@ -1,6 +1,6 @@
 // Package virtual provides a discrete-event clock, which runs simulations in
-// virtual time, and a model of the jobs at a server that share its speed. Its
-// types are not safe for concurrent use.
+// virtual time, and a model of the jobs that run at a server and all proceed at the
+// speed of the server. Its types are not safe for concurrent use.
 package virtual
 
 import (
@@ -40,17 +40,19 @@
 // Now returns the virtual time since the start of the run.
 func (c *Clock) Now() time.Duration { return c.now }
 
-// After schedules an event d from now.
+// After schedules an event, which calls run when the duration d has passed.
 func (c *Clock) After(d time.Duration, run func()) { c.At(c.now+d, run) }
 
-// At schedules an event at time t, or now if t has passed.
+// At schedules an event, which calls run at time t, or at the current time if t has
+// passed.
 func (c *Clock) At(t time.Duration, run func()) {
 	c.scheduled++
 	heap.Push(&c.events, event{max(t, c.now), c.scheduled, run})
 }
 
-// RunUntil runs events in the order of their times, without waiting, until none
-// is left or done returns true.
+// RunUntil runs the scheduled events in the order of their times until none is left
+// or done returns true. It sets the clock to the time of each event instead of
+// waiting for it.
 func (c *Clock) RunUntil(done func() bool) {
 	for len(c.events) > 0 && !done() {
 		e := heap.Pop(&c.events).(event)
--- a/internal/virtual/jobs.go
+++ b/internal/virtual/jobs.go
@@ -8,7 +8,8 @@
 // job. Not safe for concurrent use.
 type Jobs[J comparable] struct {
 	clock *Clock
-	// speed is read whenever time advances; completed is called for each job that ends.
+	// speed returns the current speed of the server. completed is called for each job whose
+	// work is done, and must remove it.
 	speed     func() float64
 	completed func(J)
 	// progress is the reading of the progress clock, and updatedAt when it was taken.
@@ -16,7 +17,7 @@
 	updatedAt time.Duration
 	running   map[J]job
 	added     uint64
-	// timer numbers the completion timers; only the latest one is valid.
+	// timer is the number of the last completion timer. Earlier ones have no effect.
 	timer uint64
 }
 
@@ -27,13 +28,14 @@
 	sequence uint64
 }
 
-// NewJobs returns the jobs of an idle server.
+// NewJobs returns the Jobs of a server without running jobs. speed returns the current
+// speed of the server, and completed is called for each job whose work is done.
 func NewJobs[J comparable](clock *Clock, speed func() float64, completed func(J)) *Jobs[J] {
 	return &Jobs[J]{clock: clock, speed: speed, completed: completed, running: map[J]job{}}
 }
 
-// Advance accounts for the time since the last call, at the current speed. It must be
-// called before the speed or the set of jobs changes.
+// Advance updates the progress of the running jobs for the time since the last call. It
+// must be called before the speed or the set of jobs changes.
 func (s *Jobs[J]) Advance() {
 	now := s.clock.Now()
 	s.progress += float64(now-s.updatedAt) * s.speed()
@@ -46,7 +48,7 @@
 	s.running[j] = job{s.progress + float64(takes), s.added}
 }
 
-// Remove removes a job.
+// Remove ends a job, whether or not its work is done. It has no effect on other jobs.
 func (s *Jobs[J]) Remove(j J) { delete(s.running, j) }
 
 // Has reports whether a job is running.
@@ -55,7 +57,8 @@
 	return ok
 }
 
-// First returns the job that ends first; ok is false if none is running.
+// First returns the running job with the least remaining work; ok is false if no job is
+// running.
 func (s *Jobs[J]) First() (first J, ok bool) {
 	var best job
 	for j, p := range s.running {
@@ -66,7 +69,7 @@
 	return first, ok
 }
 
-// Reschedule schedules the next completion and invalidates the one scheduled before.
+// Reschedule schedules the next completion in place of the previously scheduled one.
 // It must be called after the speed or the set of jobs has changed. At speed 0 no job
 // completes.
 func (s *Jobs[J]) Reschedule() {
