--- a/internal/capacity/data.go
+++ b/internal/capacity/data.go
@@ -12,7 +12,9 @@
 	"cactuspath/internal/loadgen"
 )
 
-// Slopes holds the measurements of state machines within one process, at several sizes.
+// Slopes holds the measurements of single components (directory, configuration, picker,
+// gate, control replica) within one process, at several sizes. Lines are fitted to them to
+// extrapolate the costs to the target deployment.
 type Slopes struct {
 	Date      string           `json:"date"`
 	Cores     int              `json:"cores"`
@@ -27,7 +29,9 @@
 	Recovery  []RecoverySlope  `json:"recovery"`
 }
 
-// DirectorySlope is the cost of a relay that holds Entries.
+// DirectorySlope is the cost of a relay whose directory holds Entries endpoints: its memory,
+// the time to handle a heartbeat and a periodic tick, and the size of the entries sent to a
+// node that subscribes to five services.
 type DirectorySlope struct {
 	Entries           int     `json:"entries"`
 	HeapMB            float64 `json:"heapMB"`
@@ -36,8 +40,9 @@
 	SubscriptionBytes int     `json:"subscriptionBytes"`
 }
 
-// ReconcileSlope is the number of bytes to reconcile two relays that differ in Differ of
-// their Entries.
+// ReconcileSlope is the number of bytes that two relays exchange until one of them that lacks
+// Differ of Entries entries is up to date: by comparing digests, by sending all entries, or by
+// sending only the entries that have changed since a known cursor.
 type ReconcileSlope struct {
 	Entries       int `json:"entries"`
 	Differ        int `json:"differ"`
@@ -46,7 +51,8 @@
 	CursorBytes   int `json:"cursorBytes"`
 }
 
-// RejoinSlope is the cost of bringing a node up to date that missed Missed changes.
+// RejoinSlope is the cost of bringing a node up to date that has missed Missed configuration
+// changes, in an estate of Services services.
 type RejoinSlope struct {
 	Services    int     `json:"services"`
 	Missed      int     `json:"missed"`
@@ -57,7 +63,8 @@
 	DeltaMicros float64 `json:"deltaMicros"`
 }
 
-// EstateSlope is the cost of one institution's configuration text with Services.
+// EstateSlope is the cost of one institution's configuration text with Services services:
+// the sizes of its forms, and the times to parse it and to apply a change.
 type EstateSlope struct {
 	Services      int     `json:"services"`
 	TextBytes     int     `json:"textBytes"`
@@ -67,13 +74,14 @@
 	SnapshotBytes int     `json:"snapshotBytes"`
 }
 
-// PickerSlope is the time of one pick among Candidates.
+// PickerSlope is the time in which a caller's node picks an endpoint among Candidates ones.
 type PickerSlope struct {
 	Candidates int     `json:"candidates"`
 	Nanos      float64 `json:"nanos"`
 }
 
-// SubmitSlope is the rate of changes that one control replica accepts from Workers.
+// SubmitSlope is the rate at which one control replica accepts changes from Workers
+// concurrent submitters, and the number and duration of its disk syncs.
 type SubmitSlope struct {
 	Workers        int     `json:"workers"`
 	PerSecond      float64 `json:"perSecond"`
@@ -81,51 +89,61 @@
 	SyncMicros     float64 `json:"syncMicros"`
 }
 
-// RecoverySlope is the restart time of a control replica with Entries in its log.
+// RecoverySlope is the time in which a control replica restarts with Entries entries in its
+// log.
 type RecoverySlope struct {
 	Entries  int     `json:"entries"`
 	LogBytes int64   `json:"logBytes"`
 	Millis   float64 `json:"millis"`
 }
 
-// ScaleRun is the cost of the control traffic in one data centre of node processes
-// without calls, and the time until changes and failures are known.
+// ScaleRun is the cost of the control plane in one data centre with Nodes node processes
+// that handle no requests, and the time until changes and failures are known to the nodes.
 type ScaleRun struct {
 	Nodes int `json:"nodes"`
-	// Per node that is not a relay.
+	// NodeBytes, NodeMessages, NodeCPU and NodeMB are means over the nodes that are not
+	// relays.
 	NodeBytes    float64 `json:"nodeBytesPerSecond"`
 	NodeMessages float64 `json:"nodeMessagesPerSecond"`
 	NodeCPU      float64 `json:"nodeCorePercent"`
 	NodeMB       float64 `json:"nodeResidentMB"`
-	// Per relay, including the heartbeats that it serves, and for the leader.
+	// Relays is the number of relays. RelayCPU and RelayMB are means over the relays and
+	// include the heartbeats that they serve. LeaderCPU and LeaderMB are the usage of the
+	// leader of the control replicas.
 	Relays    int     `json:"relays"`
 	RelayCPU  float64 `json:"relayCorePercent"`
 	RelayMB   float64 `json:"relayResidentMB"`
 	LeaderCPU float64 `json:"leaderCorePercent"`
 	LeaderMB  float64 `json:"leaderResidentMB"`
-	// From the acceptance of a change until it is in force, over all nodes and changes.
+	// InForceP50, InForceP99 and InForceMax are the median, the 99th percentile and the
+	// maximum of the time from the acceptance of a change until it is in force at a node,
+	// over all nodes and changes.
 	InForceP50 float64 `json:"inForceP50ms"`
 	InForceP99 float64 `json:"inForceP99ms"`
 	InForceMax float64 `json:"inForceMaxms"`
-	// From a kill until every other node of the service has dropped the endpoint.
+	// FailureDetectionMax is the maximum time from the kill of a node until every other node
+	// of its service has removed the endpoint.
 	FailureDetectionMax float64 `json:"killNoticedMaxms"`
 	FalseAlarms         float64 `json:"falseAlarms"`
 	FalseFailed         float64 `json:"falselyFailed"`
 }
 
-// PathRun is the latency of requests at one rate: direct, through one node and through
-// two nodes.
+// PathRun is the latency of requests at one rate that are sent directly to the backend
+// server, through one node and through two nodes. AddedP50 and AddedP99 are the differences
+// between two nodes and direct requests.
 type PathRun struct {
 	Rate     float64          `json:"ratePerTarget"`
 	Results  []loadgen.Result `json:"results"`
 	AddedP50 int64            `json:"twoNodesAddedP50us"`
 	AddedP99 int64            `json:"twoNodesAddedP99us"`
-	// BareP50 and BareP99 are the latencies added by two processes that only relay bytes.
+	// BareP50 and BareP99 are the corresponding differences if two processes that only
+	// forward bytes take the place of the nodes.
 	BareP50 int64 `json:"twoBareRelaysAddedP50us"`
 	BareP99 int64 `json:"twoBareRelaysAddedP99us"`
 }
 
-// Run is a measurement with its provenance.
+// Run is a list of measurements with a description, the command and the date of the run,
+// and the number of processor cores of the machine.
 type Run[T any] struct {
 	What    string `json:"what"`
 	Command string `json:"command"`
@@ -141,7 +159,7 @@
 	Path   Run[PathRun]
 }
 
-// Load reads the measurements from a folder.
+// Load reads all measurements from their files in a folder.
 func Load(folder string) (*Data, error) {
 	d := &Data{}
 	for name, into := range map[string]any{"slopes.json": &d.Slopes, "scale.json": &d.Scale, "path.json": &d.Path} {
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Fit is a straight line fitted to measured points.
+// Fit is a straight line that was fitted to N measured points by least squares.
 type Fit struct {
 	N                int
 	Intercept, Slope float64
@@ -13,7 +13,7 @@
 // At returns the value of the line at x.
 func (f Fit) At(x float64) float64 { return f.Intercept + f.Slope*x }
 
-// FitLine fits a line by least squares.
+// FitLine fits a line to the points (x[i], y[i]) by least squares.
 func FitLine(x, y []float64) Fit {
 	n := float64(len(x))
 	var sumX, sumY, sumXX, sumXY float64
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -6,8 +6,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Update replaces the generated sections of the page. Each is enclosed by the markers
-// <!-- begin NAME --> and <!-- end NAME -->.
+// Update returns the page with its generated sections replaced by the given texts, which
+// are indexed by section name. A section is enclosed by the markers <!-- begin NAME --> and
+// <!-- end NAME -->.
 func Update(page string, sections map[string]string) (string, error) {
 	for name, text := range sections {
 		begin, end := "<!-- begin "+name+" -->\n", "<!-- end "+name+" -->"
--- a/internal/capacity/plot_test.go
+++ b/internal/capacity/plot_test.go
@@ -14,7 +14,8 @@
 
 var redrawPlots = flag.Bool("plots", false, "redraw the plots in docs/measurements")
 
-// TestPlots redraws the plots of the measured slopes.
+// TestPlots redraws the plots in docs/measurements from the measurements if the flag -plots
+// is set.
 func TestPlots(t *testing.T) {
 	if !*redrawPlots {
 		t.Skip("run with -plots")
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -27,7 +27,8 @@
 	limitControlHosts    = 6
 )
 
-// Sections renders every generated section of the page by name.
+// Sections renders the generated sections of the page. The result is indexed by the section
+// names that Update expects.
 func Sections(d *Data) map[string]string {
 	return map[string]string{
 		"slopes": slopesTable(d),
@@ -65,7 +66,8 @@
 	return fmt.Sprintf("%.4f", v)
 }
 
-// fittedLines are the fits that the tables are computed from.
+// fittedLines contains the lines from which the tables are computed. relayCPU is fitted over
+// the nodes per relay, the other costs over nodes, relays, entries or services.
 type fittedLines struct {
 	nodeBytes, nodeCPU, nodeMB   Fit
 	relayCPU, relayMB, leaderCPU Fit
@@ -116,7 +118,8 @@
 	return t.String()
 }
 
-// headroom renders how far a value is below or above its limit.
+// headroom describes how far a value is below its limit, in percent, or that it misses the
+// limit and by which factor.
 func headroom(value, limit float64) string {
 	if value > limit {
 		return fmt.Sprintf("**missed**, %.1f times the limit", value/limit)
--- a/internal/capacity/slopes_test.go
+++ b/internal/capacity/slopes_test.go
@@ -36,8 +36,8 @@
 
 const slopesCommand = "go test ./internal/capacity -run '^$' -bench Slopes -benchtime 1x"
 
-// BenchmarkSlopes measures the state machines within one process, without transport, at
-// several sizes that include the target's.
+// BenchmarkSlopes measures single components within one process, without network transport,
+// at several sizes that include the size of the target deployment.
 //
 //	go test ./internal/capacity -run '^$' -bench Slopes -benchtime 1x -args -record ../../docs/measurements
 func BenchmarkSlopes(b *testing.B) {
@@ -74,8 +74,8 @@
 	}
 }
 
-// heapMB returns the heap that the value built by build occupies, and the value, which
-// keeps it alive.
+// heapMB returns the size of the heap memory occupied by the value that build returns, and the
+// value itself, which must stay reachable during the measurement.
 func heapMB(build func() any) (mb float64, kept any) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -101,7 +101,8 @@
 		State: apiv1.EndpointState_ENDPOINT_STATE_SERVING, Slots: 20, Relay: fmt.Sprintf("host-%05d", i/64*64), ChangedUnixMs: 1764700000000}
 }
 
-// testRelay returns a relay that holds n entries, pulled from a sibling relay.
+// testRelay returns a relay with n entries that it has received from another relay of its
+// data centre.
 func testRelay(n int, epoch uint64) *directory.Relay {
 	r := directory.NewRelay(&apiv1.RelayInfo{Host: "relay", DataCenter: "dc-00"}, epoch, 0)
 	r.SetRelays([]*apiv1.RelayInfo{{Host: "sibling", DataCenter: "dc-00"}}, 0)
@@ -115,8 +116,8 @@
 	return r
 }
 
-// measureDirectory measures a relay that holds n entries and receives the heartbeats of 64
-// nodes.
+// measureDirectory measures a relay that holds n entries and receives heartbeats from 64 of
+// the nodes.
 func measureDirectory(n int) DirectorySlope {
 	s := DirectorySlope{Entries: n}
 	var kept any
@@ -185,8 +186,8 @@
 		Measure: &apiv1.MeasureBudget{ReportsPerSecond: 5000, BytesPerSecond: 800_000}, SlowStartMs: 2000}
 }
 
-// measureRejoin measures a node that needs 5 services and missed changes, each of them to
-// one service.
+// measureRejoin measures the update of a node that needs 5 of the services and has missed
+// the given number of changes. Each change affects one service.
 func measureRejoin(services, missed int) RejoinSlope {
 	specs := map[string]*apiv1.ServiceSpec{}
 	for i := range services {
