--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -26,7 +26,8 @@
 	stopTimeout     = 10 * time.Second
 )
 
-// Cluster is a running cluster with its nodes and backend servers.
+// Cluster is a running cluster. Control is the address of its control replica and Operator
+// a client of it. Servers[i] is the backend server on the host of Nodes[i].
 type Cluster struct {
 	Control  string
 	Operator *operator.Client
@@ -95,8 +96,8 @@
 		return err
 	}
 	c.Servers = append(c.Servers, server)
-	// The backend server must run until its node has drained, or a planned stop would
-	// interrupt requests.
+	// The backend server must run until its node has drained. Otherwise a graceful stop of
+	// the node would interrupt requests.
 	stopped := c.stopped[i]
 	serverContext, stopServer := context.WithCancel(context.Background())
 	c.running.Go(func() { _ = server.Run(serverContext) })
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// StopNode performs a planned stop of one node and waits until its process has stopped.
+// StopNode stops node i gracefully and waits until it has stopped.
 func (c *Cluster) StopNode(ctx context.Context, i int) error {
 	c.stopNode[i]()
 	select {
@@ -138,7 +139,8 @@
 	}
 }
 
-// Stop stops all processes and returns their errors.
+// Stop stops the nodes, backend servers and control replica, and returns the errors that
+// occurred while they ran or stopped, as one error.
 func (c *Cluster) Stop() error {
 	for _, stop := range c.stopNode {
 		stop()
--- a/internal/dev/tour.go
+++ b/internal/dev/tour.go
@@ -100,9 +100,9 @@
 // recountInterval is the time between two status queries while nodes are counted twice.
 const recountInterval = 50 * time.Millisecond
 
-// waitInForce waits until the revision is in force on all nodes. A node that changed its
-// relay is reported by both relays until the previous one forgets it, so that the node count
-// is too high for a while.
+// waitInForce waits until the revision is in force on all nodes. A node that has switched to
+// another relay is temporarily reported by both relays. The node count is then too high, and
+// waitInForce queries the status again.
 func (t *tour) waitInForce(ctx context.Context, revision uint64) (*apiv1.StatusResponse, error) {
 	for {
 		s, err := t.c.Operator.WaitInForce(ctx, revision, tourNodes)
@@ -151,7 +151,8 @@
 
 const pollInterval = 50 * time.Millisecond
 
-// get sends a request to a node. The body of the response is in its bodyHeader.
+// get sends a GET request to a node. The body of the returned response has been read; its
+// text is in the header field bodyHeader of the response.
 func (t *tour) get(ctx context.Context, node int, path string) (status int, response *http.Response, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.c.Nodes[node].Address()+path, nil)
 	if err != nil {
@@ -168,7 +169,7 @@
 	return resp.StatusCode, resp, err
 }
 
-// bodyHeader is set on a received response to its body, which is used in messages.
+// bodyHeader is the header field to which get sets the body of a received response.
 const bodyHeader = "Tour-Body"
 
 func (t *tour) requestEachNode(ctx context.Context) (string, error) {
@@ -218,7 +219,8 @@
 	return fmt.Sprintf("the first answer again: accepted at revision %d", record.Revision), nil
 }
 
-// expectExitCode returns an error unless err results in the given exit code of cactusctl.
+// expectExitCode returns an error unless cactusctl would exit with the given code because of
+// err. Otherwise it returns the output for the step.
 func expectExitCode(err error, code int) (string, error) {
 	if operator.ExitCode(err) != code {
 		return "", errors.Newf("exit code %d instead of %d: %v", operator.ExitCode(err), code, err)
@@ -226,8 +228,8 @@
 	return fmt.Sprintf("exit code %d, %v", code, err), nil
 }
 
-// underLoad sends requests to a node while action runs. It counts the requests that were
-// answered with 200 and those that were not.
+// underLoad sends requests to a node while action runs. It returns the number of requests
+// that were answered with 200 and of those that were not.
 func (t *tour) underLoad(ctx context.Context, node int, action func() error) (succeeded, failed int64, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var successes, failures atomic.Int64
@@ -334,7 +336,8 @@
 	return "the process drained and ended; every request meanwhile was answered 200, none cut", nil
 }
 
-// waitStartsRequests waits until a node's gate starts requests again.
+// waitStartsRequests waits until a node's gate passes requests to its backend server again,
+// and then until the gates of the other nodes have learned this.
 func (t *tour) waitStartsRequests(ctx context.Context, node int) error {
 	started := func() string { return t.c.Nodes[node].Vars()["gate_started"].String() }
 	for before := started(); started() == before; {
@@ -344,7 +347,7 @@
 		case <-time.After(pollInterval):
 		}
 	}
-	// The sibling gates learn of it from the next load report.
+	// The other gates learn of it from the gate's next load report.
 	time.Sleep(time.Second)
 	return nil
 }
