--- a/internal/e2e/bodies_test.go
+++ b/internal/e2e/bodies_test.go
@@ -119,7 +119,8 @@
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// checkBody reads a body and reports whether it was complete.
+// checkBody reads a body and reports whether it is complete. It records a failure if the body has a
+// wrong byte or length, but not if the connection ends first.
 func (s *checkingServer) checkBody(body io.Reader, id, length int) bool {
 	buffer := make([]byte, 8<<10)
 	for offset := 0; ; {
--- a/internal/e2e/body_sender_test.go
+++ b/internal/e2e/body_sender_test.go
@@ -90,7 +90,8 @@
 	return c
 }
 
-// firstAttempts records which connection between nodes carried an upload first.
+// firstAttempts records for each upload the connection between nodes that carried its first attempt,
+// and how often a backend server has received it.
 type firstAttempts struct {
 	mu    sync.Mutex
 	conns map[string]*recordedConn
@@ -114,11 +115,12 @@
 	return f.runs[path] == 1
 }
 
-// Guards against bodies with missing bytes in a second attempt. The first server resets the
-// connection, and the caller's node reads two things at once: that the gate requests the body, and
-// that the attempt was lost. With one processor the goroutine that sends the body for the first
-// attempt starts only when the second attempt is in progress. Any bytes that it then reads from the
-// caller's body would be missing at the second server.
+// Guards against bodies with missing bytes in a second attempt. The first server resets its
+// connection, and the caller's node then reads two messages of the gate's node at once: 100 Continue,
+// which requests the body, and the response that the attempt was lost. With one processor the
+// goroutine that sends the body for the first attempt starts only when the second attempt is already
+// in progress. Any bytes that it then reads from the caller's body would be missing at the second
+// server.
 func TestSecondAttemptSendsTheWholeBody(t *testing.T) {
 	const uploads = 20
 	first := &firstAttempts{conns: map[string]*recordedConn{}, runs: map[string]int{}}
@@ -236,7 +238,8 @@
 	return p
 }
 
-// sendRequests sends both requests and returns when the server has responded to the POST.
+// sendRequests sends the GET and the POST on a new connection and returns it when the server has
+// responded to the POST.
 func (p *pipelinedSite) sendRequests(t *testing.T, id int) net.Conn {
 	t.Helper()
 	c := p.front.dial(t)
@@ -251,8 +254,8 @@
 	return c
 }
 
-// quietPeriod is how long a caller waits for further bytes after the last response. A node that
-// sends any sends them together with the response.
+// quietPeriod is how long a caller checks that no bytes follow the last response. A faulty node
+// sends such bytes together with the response, so a short period is sufficient.
 const quietPeriod = 100 * time.Millisecond
 
 // readResponses reads the response to the GET and then the response to the POST, which must equal
@@ -322,7 +325,7 @@
 	assert.Equal(t, len(faults), 0, "%d of %d connections:\n%s", len(faults), rounds*concurrentCallers, strings.Join(faults, "\n"))
 }
 
-// longResponse exceeds what the callers' node buffers of a response.
+// longResponse returns a response that is too long for the buffers of the callers' node.
 func longResponse(id int) []byte {
 	var b bytes.Buffer
 	b.WriteString("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -340,11 +343,12 @@
 	return fmt.Sprintf("connection %d, 100 Continue received %d times before the response: %s", id, continues, fault)
 }
 
-// Guards against a 100 Continue for an exchange that has ended. The response to the POST is short:
-// its exchange has ended, and the caller's node has logged that, before the response may be
-// written. The body is not needed any more. A caller that receives 100 Continue would send the
-// body, or read the interim response as part of something else.
-func TestCallerIsNotAskedOnceTheAttemptEnded(t *testing.T) {
+// Guards against a 100 Continue for an exchange that has ended. The POST is pipelined after a GET
+// whose response is held back. The response to the POST is short, so that its exchange has ended, as
+// the log of the caller's node shows, before the response may be written to the caller. The body is
+// not needed any more. A caller that receives 100 Continue would send the body, or read the interim
+// response as part of another response.
+func TestNoContinueAfterTheExchangeEnded(t *testing.T) {
 	const connections = 20
 	p := newPipelinedSite(t, func(int) []byte { return []byte(shortResponse) })
 	loggedResponses := func() int { return strings.Count(p.front.log.String(), `"Answered"`) }
@@ -366,7 +370,8 @@
 	assert.Equal(t, len(faults), 0, "%d of %d connections:\n%s", len(faults), connections, strings.Join(faults, "\n"))
 }
 
-// longUploadLength exceeds what net/http discards if a handler leaves a body unread.
+// longUploadLength exceeds the number of bytes that net/http reads and discards if a handler has not
+// read the whole body.
 const longUploadLength = 300_000
 
 // Guards against reuse of a connection between nodes while a body on it is still being read. A
@@ -458,9 +463,10 @@
 	}
 }
 
-// Guards against the same failure with a node that sends a body without waiting for 100 Continue,
-// as nodes of other versions may: the net/http server of the gate's node closes the connection by
-// itself only if the request has Expect: 100-continue. The test acts as such a node.
+// Guards against reuse of a connection between nodes with an unread body, as the previous test does,
+// but with a caller's node that sends the body without waiting for 100 Continue, as nodes of other
+// versions may. The net/http server of the gate's node closes the connection by itself only if the
+// request has Expect: 100-continue. The test acts as the caller's node.
 func TestConnectionEndsWithAnUnreadBodyThatNobodyAskedFor(t *testing.T) {
 	s := newUploadSite(t, nil, 1, nil, respondEarly)
 	uploadSlowly(t, s.front, 1, false)
--- a/internal/e2e/centers_test.go
+++ b/internal/e2e/centers_test.go
@@ -46,10 +46,11 @@
 	}
 }
 
-// Guards against a stalled backend server that delays requests of other servers. It stalls with all
-// slots in use. Requests queued at its gate or arriving there must be moved to the other server.
-// Those already running are completed when it resumes. No request may be lost or executed twice.
-func TestStalledBackendHoldsUpNobodyElse(t *testing.T) {
+// Guards against a stalled backend server that delays requests which another server could handle.
+// One of two servers stalls while all of its slots are in use. Requests that are queued at its gate
+// or arrive there must be moved to the other server. Requests that already run at the stalled server
+// are completed when it resumes. No request may be lost or executed twice.
+func TestStalledBackendDoesNotDelayOtherRequests(t *testing.T) {
 	c := newCluster(t, 1).start()
 	one := c.addNode("")
 	stalled := c.addBackend(one, "work")
--- a/internal/e2e/control_test.go
+++ b/internal/e2e/control_test.go
@@ -82,9 +82,10 @@
 	assert.Assert(t, strings.Contains(string(shown.Text), "// second"))
 }
 
-// Guards against a replica with a lost disk that votes as its former self. Restarted with an empty
-// data folder it waits as a new member without a vote. After it has been admitted in place of the
-// former member, a second replica is lost: changes must still be accepted.
+// Guards against a replica that has lost its disk, and with it the record of its votes, but votes
+// under its former member ID. Restarted with an empty data folder, it must wait as a new member
+// without a vote. After it has been admitted in place of the former member, a second replica is
+// lost, and changes must still be accepted.
 func TestLostDiskReturnsAsNewMemberThenSecondLoss(t *testing.T) {
 	c := newCluster(t, 3).start()
 	ctx := testContext(t)
@@ -195,17 +196,17 @@
 	})
 }
 
-// If no replica is reachable, the command must fail within its timeout with a separate exit code
-// and must not state anything about the change.
+// Checks that a command fails within its timeout if no replica is reachable, with an exit code that
+// is used only for this case and without an outcome of the change.
 func TestUnreachableControlHasItsOwnExitCode(t *testing.T) {
 	c := newCluster(t, 1)
 	code, out := c.run("cactusctl", "--control", c.controlAddresses[0], "--timeout", "2s", "submit", "--base", "0", c.estateFile("e.jsonc", estateText("x", "hello")))
 	assert.Equal(t, code, operator.ExitUnreachable, out)
 }
 
-// Guards against a definite outcome for a submit during which the majority was lost. The outcome
-// must be "unknown" or "unreachable", with the command that resolves it, and never "accepted" or
-// "refused".
+// Guards against a wrong outcome if the majority of the replicas is lost during a submit. The
+// reported outcome must be "unknown" or "unreachable", together with the command that determines
+// the actual outcome, and never "accepted" or "refused".
 func TestLostMajorityLeavesOutcomeOpen(t *testing.T) {
 	c := newCluster(t, 3).start()
 	l := c.leader()
--- a/internal/e2e/crash_site_test.go
+++ b/internal/e2e/crash_site_test.go
@@ -18,12 +18,12 @@
 
 const (
 	// propagationTime is the time within which all nodes must learn that a request has crashed
-	// three servers. maxLateArrivals is how often it may reach servers after that. Both are
-	// requirements of the users.
+	// three servers. maxLateArrivals is the number of times that the request may still reach
+	// servers after that time. Both are requirements of the users.
 	propagationTime = 3 * time.Second
 	maxLateArrivals = 3
-	// crashThreshold is the number of servers that a request may crash before nodes must keep it
-	// away from servers.
+	// crashThreshold is the number of crashed servers after which nodes must quarantine a
+	// request, that is, no longer send it to any server.
 	crashThreshold = 3
 	// restartDelay is how long a crashed server takes to restart.
 	restartDelay = 400 * time.Millisecond
@@ -49,7 +49,7 @@
 	records []*fatalRecord
 }
 
-// fatalRecord is the history of a fatal request.
+// fatalRecord records the arrivals of a fatal request at servers and the crashes it has caused.
 type fatalRecord struct {
 	fatalRequest
 	// crashTimes contains the times at which the request crashed a server, and arrivals its
@@ -61,11 +61,13 @@
 type arrival struct {
 	at   time.Time
 	node *nodeProcess
-	// undisturbedFor is how long the server's node had been undisturbed.
+	// undisturbedFor is the time between the end of the last fault of the server's node and the
+	// arrival. It is negative during a fault.
 	undisturbedFor time.Duration
 }
 
-// lateArrivals counts the arrivals at undisturbed nodes after the propagation time.
+// lateArrivals counts the arrivals at undisturbed nodes later than propagationTime after the request
+// has crashed crashThreshold servers.
 func (r *fatalRecord) lateArrivals() (count int) {
 	if len(r.crashTimes) < crashThreshold {
 		return 0
@@ -281,8 +283,8 @@
 	return resp.StatusCode
 }
 
-// progress returns the number of late arrivals, and whether the period in which they may occur is
-// over.
+// progress returns the number of late arrivals of a fatal request. done reports whether the request
+// has been sent long enough after propagationTime for the check.
 func (s *crashSite) progress(r *fatalRecord) (late int, done bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/e2e/crash_test.go
+++ b/internal/e2e/crash_test.go
@@ -15,13 +15,14 @@
 )
 
 // Guards against a request that crashes one server after another, so that its service is
-// unavailable for seconds, repeatedly. The caller resends the request with a new ID through another
-// node as soon as it has failed. Every single call obeys its retry limit, but what a server had
-// executed was forgotten with the interrupted exchange, and no node knew what had run at another
-// node: all servers crashed, and crashed again after their restart. The logs showed the same
-// content key at each crashed server, with IDs that no other server had seen. Other requests must
-// be served meanwhile: the same path with another body, and frequent requests that happened to run
-// on a crashed server.
+// repeatedly unavailable for seconds. As soon as the request has failed, its caller resends it with
+// a new ID through another node. Retry limits cannot prevent the crashes, because they apply to a
+// single ID. Without a quarantine that all nodes share, a node forgets the request when its
+// connection to the crashed server ends, and no node knows what has run at another node, so that
+// all servers crash, and crash again after their restart. Logs then show the same content key at
+// each crashed server, with IDs that no other server has seen. Other requests must be served
+// meanwhile: the same path with another body, and frequent requests that happened to run on a
+// server when it crashed.
 func TestRequestThatEndsServersIsKeptAway(t *testing.T) {
 	s := newCrashSite(t, 6)
 	long := strings.Repeat("long ", 20_000)
@@ -34,13 +35,14 @@
 		{"with a body of unknown length", fatalRequest{method: http.MethodPost, path: "/write/chunks", body: "kill", chunked: true}},
 		{"with a body too long to buffer", fatalRequest{method: http.MethodPost, path: "/write/long", body: long}},
 	} {
-		t.Run(f.desc, func(t *testing.T) { s.checkKeptAway(t, f.fatalRequest) })
+		t.Run(f.desc, func(t *testing.T) { s.checkQuarantined(t, f.fatalRequest) })
 	}
 }
 
-// checkKeptAway resends a fatal request, concurrently with other requests, until it must be kept
-// away, and checks that the other requests are served.
-func (s *crashSite) checkKeptAway(t *testing.T, f fatalRequest) {
+// checkQuarantined resends a fatal request, concurrently with other requests, until it must be
+// quarantined at all nodes. It checks that the fatal request seldom reaches servers after that and
+// that other requests are served.
+func (s *crashSite) checkQuarantined(t *testing.T, f fatalRequest) {
 	r := s.setFatal(f)[0]
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
@@ -85,7 +87,8 @@
 	}
 }
 
-// harmlessRequests returns requests that must not be kept away.
+// harmlessRequests returns requests that must not be quarantined: one that differs from f only in
+// its body or path, and a frequent one.
 func (s *crashSite) harmlessRequests(f fatalRequest) []fatalRequest {
 	other := f
 	other.body = f.body + "!"
@@ -96,10 +99,11 @@
 	return []fatalRequest{other, {method: http.MethodGet, path: popularPath}}
 }
 
-// Guards against forgetting a request that has crashed three servers and is kept away everywhere,
-// when all nodes, and in one case the control replica as well, are killed at the same time. Kept
-// only in the memory of the nodes, this state was lost, and the resent request crashed servers
-// again after the restart. It is therefore also sent to the control replicas, which store it.
+// Guards against the loss of a quarantine when all nodes, and in one case the control replica as
+// well, are killed at the same time. The request has crashed three servers and is quarantined at
+// all nodes. If the quarantine were held only in the memory of the nodes, the resent request would
+// crash servers again after the restart. It is therefore also sent to the control replicas, which
+// store it.
 func TestRequestIsKeptAwayAfterAllNodesEnded(t *testing.T) {
 	for _, c := range []struct {
 		desc    string
@@ -112,11 +116,11 @@
 			s := newCrashSite(t, 6)
 			f := fatalRequest{method: http.MethodGet, path: "/read/fatal"}
 			r := s.setFatal(f)[0]
-			eventually(t, "the request is kept away everywhere", func() bool {
+			eventually(t, "the request is quarantined at all nodes", func() bool {
 				for _, n := range s.nodes {
 					s.send(n, f)
 				}
-				return s.nodesKeepingAway(t) == len(s.nodes)
+				return s.countQuarantiningNodes(t) == len(s.nodes)
 			})
 			time.Sleep(propagationTime)
 			var procs []*process
@@ -149,13 +153,13 @@
 			}
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			assert.Assert(t, len(r.arrivals)-before <= maxLateArrivals, "the request reached servers %d more times", len(r.arrivals)-before)
+			assert.Assert(t, len(r.arrivals)-before <= maxLateArrivals, "the request reached servers %d times after the restart", len(r.arrivals)-before)
 		})
 	}
 }
 
-// nodesKeepingAway returns the number of nodes that keep a request away.
-func (s *crashSite) nodesKeepingAway(t *testing.T) int {
+// countQuarantiningNodes returns the number of nodes that have quarantined at least one request.
+func (s *crashSite) countQuarantiningNodes(t *testing.T) int {
 	t.Helper()
 	count := 0
 	for _, n := range s.nodes {
@@ -170,8 +174,9 @@
 
 // Guards against fatal requests that reach servers too often while nodes are killed or frozen and
 // all control replicas are paused. Two fatal requests are sent concurrently through varying nodes,
-// one of them with a new query each time. At undisturbed nodes, arrivals after the propagation time
-// must stay within the limit. At the end both requests must be kept away and others must be served.
+// one of them with a new query each time. The number of their arrivals at undisturbed nodes after
+// propagationTime must be at most maxLateArrivals. At the end both requests must be quarantined at
+// all nodes, and other requests must be served.
 func TestRequestsAreKeptAwayWhileNodesComeAndGo(t *testing.T) {
 	const duration = 12 * time.Second
 	s := newCrashSite(t, 8)
@@ -234,7 +239,8 @@
 // nodeStartTime exceeds the time that a node needs to start.
 const nodeStartTime = time.Second
 
-// resendFatal sends a fatal request repeatedly, through two nodes at once.
+// resendFatal sends a fatal request repeatedly, each time through two nodes concurrently, until stop
+// is closed. The nodes vary, and a GET request gets a new query each time.
 func (s *crashSite) resendFatal(stop <-chan struct{}, first int, f fatalRequest) {
 	for i := first; ; i += 2 {
 		select {
--- a/internal/e2e/evacuate_test.go
+++ b/internal/e2e/evacuate_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// gateStarted returns the number of requests started by the node's gate.
+// gateStarted returns the number of requests that the node's gate has passed to its backend server.
 func (n *nodeProcess) gateStarted(t testing.TB) float64 {
 	t.Helper()
 	return metric(n.metrics(t), "gate_started")
@@ -75,8 +75,8 @@
 	assert.Equal(t, failed.Load(), int64(0), "of %d", answered.Load())
 }
 
-// Guards against callers that wait in vain if all data centres with the service are evacuated: the
-// response must come at once and tell that the request was not executed and when to retry.
+// Guards against callers that wait for a timeout if all data centres with the service are
+// evacuated. The node must respond immediately that the request was not executed and when to retry.
 func TestRequestIsRefusedAtOnceWhereEverythingIsEvacuated(t *testing.T) {
 	c := newCluster(t, 1)
 	c.watchControl = true
--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -81,7 +81,7 @@
 	return s.b.String()
 }
 
-// cluster is a set of processes with their addresses.
+// cluster consists of the control replicas, nodes and backend servers of a test.
 type cluster struct {
 	t                testing.TB
 	folder           string
@@ -167,7 +167,8 @@
 	return c.addNodeIn("dc-a", service)
 }
 
-// addNodeIn is addNode in the given data centre.
+// addNodeIn starts a node in the given data centre and, if service is not empty, a backend server
+// process for it.
 func (c *cluster) addNodeIn(dataCenter, service string) *nodeProcess {
 	c.t.Helper()
 	return c.addNodeWith(nodeOptions{dataCenter: dataCenter, service: service})
@@ -332,7 +333,7 @@
 	return ctx
 }
 
-// estateText returns an estate of one institution with the named services.
+// estateText returns the configuration text of an institution with the named services.
 func estateText(note string, services ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "// %s\n{\"institution\": \"trial\", \"services\": {", note)
@@ -343,7 +344,8 @@
 	return b.String()
 }
 
-// submit submits a text based on the latest revision and waits until it is in force on all nodes.
+// submit submits a configuration text based on the latest revision and waits until it is in force on
+// all nodes.
 func (c *cluster) submit(text string) uint64 {
 	c.t.Helper()
 	ctx := testContext(c.t)
--- a/internal/e2e/partition_test.go
+++ b/internal/e2e/partition_test.go
@@ -83,9 +83,9 @@
 }
 
 // Guards against stale reads from an isolated leader. A partition separates the leader from the
-// other replicas for a long time, while operators still reach it. It must neither respond with its
-// old revision nor accept a change. The others continue, and it must follow them after the
-// partition.
+// other replicas for longer than an election takes, while operators can still reach it. It must
+// neither respond with its old revision nor accept a change. The other replicas elect a new leader,
+// which the isolated one must follow after the partition.
 func TestIsolatedLeaderAnswersNothingStale(t *testing.T) {
 	c := newCluster(t, 3)
 	var proxies []*partitionProxy
@@ -100,8 +100,8 @@
 	first, err := c.client.Submit(ctx, []byte(estateText("first", "hello")), 0, "first")
 	assert.NilError(t, err)
 	isolated := c.leader()
-	// Close all connections to the isolated leader. The proxies of the other replicas, through
-	// which its own messages pass, stay open.
+	// Close all connections from other replicas to the isolated leader. The proxies of the
+	// other replicas, through which the leader's own messages pass, stay open.
 	others := &operator.Client{Control: controlclient.New(nil, without(c.controlAddresses, isolated), ""), Name: "tester"}
 	isolatedOnly := &operator.Client{Control: controlclient.New(nil, []string{c.controlAddresses[isolated]}, ""), Name: "tester"}
 	proxies[isolated].setPartitioned(true)
--- a/internal/e2e/path_test.go
+++ b/internal/e2e/path_test.go
@@ -75,9 +75,9 @@
 	return int(load["Running"].(float64))
 }
 
-// Guards against reporting a request as not run whose node is frozen. The caller's node loses the
-// response of the frozen node, which may still execute the payment, so that the outcome must be
-// reported as unknown.
+// Guards against reporting a request as not run that was sent to a frozen node. The caller's node
+// gets no response from the frozen node, which may still execute the payment when it resumes.
+// Therefore the outcome must be reported as unknown.
 func TestFrozenNodeIsNotCalledNotRun(t *testing.T) {
 	c := newCluster(t, 1).start()
 	one := c.addNode("pay")
@@ -96,7 +96,8 @@
 	assert.Equal(t, resp.Header.Get(fault.Header), string(fault.OutcomeUnknown))
 }
 
-// Guards against an interrupted response that looks complete. The caller must get an error.
+// Guards against a response that is interrupted in the middle of its body but looks complete to the
+// caller. The caller must get an error when it reads the body.
 func TestCutAnswerNeverLooksWhole(t *testing.T) {
 	c := newCluster(t, 1).start()
 	c.addNode("files")
@@ -168,9 +169,9 @@
 	assert.Equal(t, leaving.cmd.ProcessState.ExitCode(), 0, leaving.log.String())
 }
 
-// Guards against a graceful stop that waits until no caller has a request in flight. This may never
-// happen while callers keep sending, and at the timeout their requests would be interrupted. The
-// node must refuse new requests and exit with code 0.
+// Guards against a graceful stop that accepts new requests until no request is in flight. While
+// callers keep sending, this may never be the case, and the requests in flight at the stop timeout
+// would be interrupted. The node must refuse new requests and exit with code 0.
 func TestStopDoesNotWaitForCallersToPause(t *testing.T) {
 	c := newCluster(t, 1).start()
 	c.addNode("hello")
@@ -199,9 +200,9 @@
 	assert.Equal(t, leaving.cmd.ProcessState.ExitCode(), 0, leaving.log.String())
 }
 
-// Guards against a drain that is confirmed too early. Once the gate has processed the drain, the
-// host must not get new requests, and cactusctl must return only when no request is running there
-// any more.
+// Guards against a drain that is confirmed too early. Once a host's gate has processed the drain,
+// the host must not get new requests. The cactusctl command must not return before the last request
+// on the host has ended.
 func TestDrainAnswersWhenSafe(t *testing.T) {
 	c := newCluster(t, 1).start()
 	one := c.addNode("hello")
--- a/internal/e2e/recording_proxy_test.go
+++ b/internal/e2e/recording_proxy_test.go
@@ -17,8 +17,8 @@
 type recordingProxy struct {
 	address string
 	target  string
-	// mayForward reports whether the pending response bytes may be forwarded, which happens in a
-	// single write. If it is nil, all bytes are forwarded immediately.
+	// mayForward reports whether the response bytes received so far but not yet forwarded may be
+	// forwarded now, in a single write. If mayForward is nil, all bytes are forwarded immediately.
 	mayForward func(c *recordedConn, waiting []byte) bool
 
 	mu    sync.Mutex
@@ -54,7 +54,8 @@
 	return k
 }
 
-// interpose sets the target and returns the address of the proxy.
+// interpose sets the address of the peer listener to which the proxy forwards, and returns the
+// address of the proxy.
 func (k *recordingProxy) interpose(peer string) string {
 	k.target = peer
 	return k.address
@@ -92,7 +93,8 @@
 }
 
 func (c *recordedConn) forwardResponses(to, from net.Conn, mayForward func(*recordedConn, []byte) bool) {
-	// Close both directions: nothing reads what the other side still sends.
+	// Close both directions, not only that of the responses: nothing reads what the node that sends
+	// requests still sends.
 	defer to.Close()
 	buffer := make([]byte, 32<<10)
 	var pending []byte
@@ -160,11 +162,12 @@
 
 const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// isContinue reports whether the pending response bytes are exactly a 100 Continue.
+// isContinue reports whether the pending response bytes, which the proxy has not forwarded yet, are
+// exactly a 100 Continue response.
 func isContinue(pending []byte) bool { return string(pending) == continueResponse }
 
-// hasHeadAfterContinue reports whether a complete head follows the 100 Continue, or there is no 100
-// Continue.
+// hasHeadAfterContinue reports whether the pending response bytes do not start with 100 Continue, or
+// contain a complete response head after it.
 func hasHeadAfterContinue(pending []byte) bool {
 	rest, continued := bytes.CutPrefix(pending, []byte(continueResponse))
 	return !continued || bytes.Contains(rest, []byte("\r\n\r\n"))
@@ -195,7 +198,7 @@
 	}
 }
 
-// events is a set of named one-time events.
+// events is a set of named events, each of which occurs at most once and can be waited for.
 type events struct {
 	mu       sync.Mutex
 	channels map[string]chan struct{}
--- a/internal/e2e/scale_test.go
+++ b/internal/e2e/scale_test.go
@@ -185,7 +185,8 @@
 	r.InForceP50, r.InForceP99, r.InForceMax = took[len(took)/2], took[len(took)*99/100], took[len(took)-1]
 }
 
-// submitOnly submits a text based on the latest revision without waiting until it is in force.
+// submitOnly submits a configuration text based on the latest revision and returns the new revision
+// without waiting until it is in force.
 func (c *cluster) submitOnly(b testing.TB, text string) uint64 {
 	ctx := testContext(b)
 	shown, err := c.client.Show(ctx, "trial")
--- a/internal/e2e/session_test.go
+++ b/internal/e2e/session_test.go
@@ -63,7 +63,8 @@
 	fmt.Fprintf(&s.out, "\n%s\n", s.normalize(string(content)))
 }
 
-// Compares a complete session of an operator and callers with the golden file, byte by byte.
+// Guards against unintended changes in what operators and callers see: a complete session must equal
+// the golden file, byte for byte.
 func TestSessionIsAsRecorded(t *testing.T) {
 	c := newCluster(t, 1).start()
 	n := c.addNode("hello")
