--- a/internal/soak/backend_test.go
+++ b/internal/soak/backend_test.go
@@ -41,11 +41,10 @@
 	startedAt time.Time
 	draining  bool
 	drainedAt time.Time
-	// host is the process of the local node. It tells which guarantees apply: some hold only at an
-	// undisturbed node.
+	// host is the process of the local node. Some guarantees apply only while it is undisturbed.
 	host *process
 	// evacuatedAt is the time at which the evacuation of the data centre was acknowledged. It is
-	// zero if there is no evacuation or its end may already be in progress.
+	// zero if the data centre is not evacuated or the end of its evacuation has been submitted.
 	evacuatedAt time.Time
 	conns       map[net.Conn]bool
 }
@@ -254,8 +253,8 @@
 }
 
 func (b *backend) sendAnnouncement(draining bool, startedAt time.Time) bool {
-	// A node that was paused may read an announcement that timed out long ago concurrently with a
-	// later one. The sequence number orders them.
+	// A node that resumes after a pause may read an old announcement, whose sender has timed out
+	// long ago, concurrently with a later one. The sequence number tells which one is newer.
 	body, err := json.Marshal(map[string]any{"service": service, "address": b.address, "instance": b.address, "startedAt": startedAt.UnixMilli(), "draining": draining, "sequence": time.Now().UnixNano()})
 	if err != nil {
 		return false
--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -99,9 +99,9 @@
 	return kind != "" && !kind.MayHaveRun() && resp.StatusCode != http.StatusOK
 }
 
-// unexpectedResponse reports whether a valid request to a configured service must not get this
-// complete response. Allowed are responses of a backend server, and the faults that a disturbance
-// can cause.
+// unexpectedResponse reports whether this complete response to a valid request for a configured
+// service is a failure of the test. Expected are responses of a backend server, and error responses
+// of a node of the kinds that the injected faults can cause.
 func unexpectedResponse(resp *http.Response, body []byte) bool {
 	kind := fault.Kind(resp.Header.Get(fault.Header))
 	switch kind {
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,5 +1,5 @@
-// Package soak contains randomized soak tests of the real programs. It consists of tests only, so
-// that neither program can start processes:
+// Package soak contains randomized soak tests of the node and control replica programs. It consists
+// of test files only, so that code which starts processes is not linked into either program:
 //
 //	go test ./internal/soak -run Soak -seed 7 -for 30s
 //
--- a/internal/soak/evacuate_test.go
+++ b/internal/soak/evacuate_test.go
@@ -68,8 +68,9 @@
 	}
 }
 
-// checkEvacuated records a failure if a request arrived too late after an evacuation at a server
-// whose node was undisturbed since then.
+// checkEvacuated records a failure if a request arrives at a server in an evacuated data centre more
+// than evacuationTimeLimit after the evacuation, although the server's node has been undisturbed
+// since then.
 func (r *requestLog) checkEvacuated(b *backend, id string) {
 	b.mu.Lock()
 	since, host := b.evacuatedAt, b.host
--- a/internal/soak/fault_sequences_test.go
+++ b/internal/soak/fault_sequences_test.go
@@ -16,12 +16,13 @@
 // random generator, so that the single faults of a seed stay the same as when it failed.
 
 const (
-	// rollingRestartNodes is the number of nodes in a rolling restart, in which each node stops as
-	// soon as the previous one has been restarted. Three cover all but one node of a site of the
-	// default size.
+	// rollingRestartNodes is the number of nodes in a rolling restart, in which each node is
+	// stopped as soon as the previous one has been restarted. Three are all nodes but one at a site
+	// of the default size.
 	rollingRestartNodes = 3
-	// maxReloads is the maximum number of SIGHUPs in a sequence and maxReloadInterval the maximum
-	// time between two of them. Some arrive while the file is being written.
+	// maxReloads is the maximum number of SIGHUP signals in a sequence and maxReloadInterval the
+	// maximum time between two of them. Some signals arrive while the settings file is being
+	// written.
 	maxReloads        = 20
 	maxReloadInterval = 40 * time.Millisecond
 	// burstChanges is the number of changes submitted without a pause.
@@ -29,7 +30,7 @@
 	// maxPause is the maximum duration of the alternating pauses and running times of a process
 	// that is paused repeatedly, as on a host whose processors are busy.
 	maxPause = 40 * time.Millisecond
-	// maxLinkDelay is the maximum delay of the link of such a process.
+	// maxLinkDelay is the maximum delay of the link of a process that is paused repeatedly.
 	maxLinkDelay = 30 * time.Millisecond
 	// uploadWaitTimeout is how long a kill waits for an upload in flight.
 	uploadWaitTimeout = 300 * time.Millisecond
@@ -38,8 +39,8 @@
 	// maxSequenceRateFactor.
 	maxSequenceInterval   = 1200 * time.Millisecond
 	maxSequenceRateFactor = 6
-	// stopTimeout is the stopTimeout setting of the nodes. A process may take up to
-	// stopTimeoutSlack longer to exit.
+	// stopTimeout is the value of the nodes' setting of this name, the maximum duration of a
+	// graceful stop. A process may take up to stopTimeoutSlack longer to exit.
 	stopTimeout      = 8 * time.Second
 	stopTimeoutSlack = 2 * time.Second
 )
@@ -132,9 +133,9 @@
 	p.mu.Lock()
 	code := p.cmd.ProcessState.ExitCode()
 	p.mu.Unlock()
-	// A process that has just been started does not handle the signal yet and is terminated by the
-	// system before it has served any request. In a trace a process ended 2 ms after the signal, 50
-	// ms after the previous process had stopped, without having logged a line.
+	// A process that has just been started does not handle the signal yet. The operating system
+	// then terminates it before it has served any request. In one trace the process ends 2 ms after
+	// the signal and 50 ms after the end of the previous process, without having logged a line.
 	if !started || !p.onlyGracefulStops(began.Add(-faultAftermath)) {
 		return
 	}
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// injection starts a fault and returns a function that ends it.
+// injection is a function that starts a fault and returns a function that ends it.
 type injection func() (end func())
 
 // injectFaults injects random, overlapping faults for d and waits until they have ended.
@@ -93,8 +93,8 @@
 
 func faultTarget(p *process) *process { return p }
 
-// exclusive returns an injection that does nothing while another exclusive fault of the process is
-// active.
+// exclusive returns an injection that starts the fault unless another exclusive fault of the same
+// process is active.
 func exclusive(p *process, begin injection) injection {
 	return func() func() {
 		if _, taken := faultyProcesses.LoadOrStore(p, true); taken {
@@ -108,8 +108,8 @@
 	}
 }
 
-// replicaCatchUpTime is how long a restarted replica still counts as lost, because it has to catch
-// up.
+// replicaCatchUpTime is the time after a restart during which a replica counts as lost, because it
+// still has to receive the changes that it has missed.
 const replicaCatchUpTime = 4 * time.Second
 
 func (s *soak) replicaFault(lostReplicas chan struct{}, p *process, begin injection) injection {
--- a/internal/soak/link_test.go
+++ b/internal/soak/link_test.go
@@ -75,7 +75,8 @@
 			time.Sleep(time.Duration(d))
 		}
 		if k.dropAll.Load() || responses && k.dropResponses.Load() {
-			// Data was lost, so the connection stays unusable.
+			// Data on the connection has been discarded. Discard all further data too, because
+			// the receiver would otherwise get a stream with missing bytes.
 			_, _ = io.Copy(io.Discard, from)
 			return
 		}
--- a/internal/soak/requests_test.go
+++ b/internal/soak/requests_test.go
@@ -91,7 +91,8 @@
 	return b[from-first : to-first]
 }
 
-// bodyCheck reads a request body and compares every byte with the expected one.
+// bodyCheck reads the body of a request at a backend server and compares every byte with the byte
+// that the caller sends.
 type bodyCheck struct {
 	source  io.Reader
 	request *request
@@ -154,8 +155,8 @@
 	// indexes of the nodes whose servers executed it.
 	attempts   int
 	executedAt []int
-	// notRunReason is set if the caller was told, or can conclude, that the request was not
-	// executed.
+	// notRunReason is the reason why the caller may conclude that the request was not executed,
+	// or empty if it may not.
 	notRunReason string
 }
 
@@ -177,7 +178,8 @@
 	r.records[sent.id] = &requestRecord{request: sent}
 }
 
-// recordArrival records an attempt. It returns nil if no such request was sent.
+// recordArrival records the arrival of an attempt at a backend server. It returns the request and the
+// number of the attempt, or nil if no caller has sent a request with this ID and request line.
 func (r *requestLog) recordArrival(id, line string, drained bool) (*request, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/responses_test.go
+++ b/internal/soak/responses_test.go
@@ -61,9 +61,9 @@
 		append(append([]any{up.id, up.mode, up.length, up.chunked, up.expectContinue, u.requestsOnConn, u.conn.LocalAddr()}, args...), u.trace.summary())...)
 }
 
-// checkIdle checks that no bytes have arrived since the last response, as they would belong to no
-// request. It returns false if the connection is closed, which a node may do while no request is in
-// flight.
+// checkIdle checks that no bytes have arrived on the connection since the last response. Such bytes
+// would not belong to any request. It returns false if the node has closed the connection, which is
+// allowed while no request is in flight.
 func (u *uploader) checkIdle() bool {
 	_ = u.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
 	b, err := u.reader.Peek(1)
@@ -126,8 +126,9 @@
 
 var errNoResponse = errors.New("no response")
 
-// awaitResponse waits for the first byte of a response: until responseTimeout after the last byte
-// of the body was sent, or for twice that time in total if the node does not read the body.
+// awaitResponse waits for the first byte of a response. It waits until responseTimeout after the last
+// byte of the body was sent, but at most twice responseTimeout in total, because a node that does not
+// read the body prevents the caller from sending its last byte.
 func (u *uploader) awaitResponse(up *upload) error {
 	defer func() { _ = u.conn.SetReadDeadline(time.Now().Add(responseTimeout)) }()
 	for {
@@ -192,13 +193,15 @@
 	}
 }
 
-// faultAftermath is the minimum time between the end of a fault and a request for the fault to be
-// ignored. A response in flight is interrupted only by concurrent faults, but the effects of an
-// earlier fault, such as broken connections between nodes, show when a request is sent.
+// faultAftermath is the time after the end of a fault during which it may still interrupt new
+// requests, for example because connections between nodes are broken, which is noticed only when a
+// request is sent on them. Requests sent later must not be interrupted. A response that is already in
+// flight can be interrupted only by a concurrent fault.
 const faultAftermath = time.Second
 
 // checkInterrupted checks whether a connection was allowed to end before the complete response to a
-// request. It is allowed while involved processes are killed, paused or partitioned.
+// request. This is allowed if a process that handled the request was killed, paused or partitioned
+// meanwhile, and at a stopping node that has not forwarded the request.
 func (u *uploader) checkInterrupted(up *upload, batch []*upload, err error) {
 	if u.trace.closedByCaller.Load() {
 		return
@@ -219,9 +222,10 @@
 	case !endOfConnection(err):
 		u.failUpload(up, "invalid HTTP response: %v", err)
 	case attempts == 0 && node.undisturbed(time.Since(up.startedAt)+recoveryTime) && node.stopRequested().IsZero():
-		// A stopping node does not count as undisturbed, however long ago the stop was requested: a
-		// request that crosses its final close has not been forwarded to any node. This was seen in
-		// three traces, 4.2 to 4.5 s after the stop request on a busy machine.
+		// A stopping node does not count as undisturbed, however long ago the stop was requested:
+		// a request may arrive while the node closes its connections at the end of the stop. The
+		// node has then not forwarded the request. Three traces show this, 4.2 to 4.5 s after the
+		// stop request on a busy machine.
 		u.failUpload(up, "undisturbed node closed the connection without a response: %v", err)
 	case len(ran) > 0 && node.onlyGracefulStops(since) && u.onlyGracefulStopsAt(nodes, since):
 		u.failUpload(up, "executed at nodes %v, response interrupted although these nodes and the caller's node were at most stopped gracefully: %v", ran, err)
--- a/internal/soak/restart_test.go
+++ b/internal/soak/restart_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// crash closes the listener and resets all connections. It returns false if the server is
-// already down.
+// crash simulates a crash of the backend server: it closes the listener and resets all connections.
+// It returns false if the server is already down.
 func (b *backend) crash() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -58,7 +58,7 @@
 	return true
 }
 
-// restart starts a crashed server as the same instance at the same address, not draining.
+// restart starts a crashed server again at the same address, as the same instance and not draining.
 func (b *backend) restart(t *testing.T) {
 	l, err := net.Listen("tcp", b.address)
 	assert.Check(t, err)
--- a/internal/soak/site_test.go
+++ b/internal/soak/site_test.go
@@ -43,8 +43,8 @@
 	// activeFaults. activeFaults is the number of active faults of the process's link and backend
 	// server.
 	lastAction, lastDisruption time.Time
-	// started reports whether the process has written to its log since its last start. It handles
-	// signals by then.
+	// started reports whether the process has written to its log since its last start. From then
+	// on it handles signals.
 	started      bool
 	activeFaults int
 	// stopRequestedAt is the time of SIGTERM, or zero if the process has been restarted since.
@@ -108,16 +108,16 @@
 	<-done
 }
 
-// undisturbed reports whether the process is not paused and was neither signalled nor started
-// within the period.
+// undisturbed reports whether the process is not paused and has been neither signalled nor started
+// within the last period.
 func (p *process) undisturbed(period time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.paused && time.Since(p.lastAction) > period
 }
 
-// onlyGracefulStops reports whether the process was at most stopped gracefully and restarted since
-// the given time.
+// onlyGracefulStops reports whether graceful stops and restarts are the only disturbances of the
+// process since the given time.
 func (p *process) onlyGracefulStops(since time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -17,7 +17,7 @@
 	nodeCount = flag.Int("nodes", defaultNodes, "number of nodes")
 )
 
-// regressionSeeds contains seeds that have failed, each with the cause.
+// regressionSeeds contains seeds that reproduce earlier failures, each with the cause of the failure.
 var regressionSeeds = []uint64{
 	132, // a node that was down lost its port to another process: the port was in the range of outgoing connections
 	263, // a resumed node processed a server's drain and then an older announcement, which ended the drain
@@ -26,32 +26,33 @@
 	832, // a server closed its connection while the body was being sent, and its response was not read completely
 }
 
-// Known failures: with seeds 209, 210, 216, 237, 245 and 264, final responses were up to 7 s late
-// on all nodes at once, on eight cores with 27 to 40 runnable processes. The deadline of a read
-// fired 3.4 s late in a process that was not paused. All six pass on the same machine at half that
-// load. They are not regression seeds because the default run would then take more than a minute.
+// Known failures on an overloaded machine: seeds 209, 210, 216, 237, 245 and 264 fail on eight cores
+// with 27 to 40 runnable processes, because final responses are up to 7 s late on all nodes at once.
+// In a process that is not paused, the deadline of a read fires 3.4 s late. All six seeds pass on the
+// same machine at half that load. They are not regression seeds because the default run would then
+// take more than a minute.
 
 // defaultSeeds contains the seeds that run in addition to regressionSeeds without the -seed flag.
 var defaultSeeds = []uint64{1, 2}
 
 const (
-	// recoveryTime is how long a process must have been undisturbed before guarantees with a time
-	// limit apply to it.
+	// recoveryTime is how long a process must have been undisturbed (without faults or signals)
+	// before guarantees with a time limit apply to it.
 	recoveryTime       = 4 * time.Second
 	convergenceTimeout = 25 * time.Second
 )
 
-// Checks the guarantees under faults of processes and links: requests that are not repeatable are
-// executed at most once, a reported "not run" is true, responses are complete and belong to the
-// request, responses are in time, a drained server gets no requests, and no accepted change is lost
-// or reverted. After the faults every caller is served again.
+// Checks the guarantees under random faults of processes and links: requests that are not repeatable
+// are executed at most once, a request reported as "not run" was not executed, responses are
+// complete, in time and belong to the request, a drained server gets no requests, and no accepted
+// change is lost or reverted. After the faults every caller is served again.
 func TestSoak(t *testing.T) {
 	seeds := append(append([]uint64{}, regressionSeeds...), defaultSeeds...)
 	if *onlySeed != 0 {
 		seeds = []uint64{*onlySeed}
 	}
-	// Two seeds run in parallel: they mostly wait, and run sequentially they take more than a
-	// minute.
+	// Run two seeds in parallel. They mostly wait, and running all seeds one after the other
+	// takes more than a minute.
 	slots := make(chan struct{}, 2)
 	for _, n := range seeds {
 		t.Run(fmt.Sprint("seed-", n), func(t *testing.T) {
--- a/internal/soak/uploads_test.go
+++ b/internal/soak/uploads_test.go
@@ -24,7 +24,7 @@
 	responseTimeout = 10 * time.Second
 	// closeTimeout is how long a connection may stay open after a response that announced its end.
 	closeTimeout = 3 * time.Second
-	// abortOneIn is the number of uploads of which one on average is aborted by the caller.
+	// abortOneIn is the inverse of the probability that a caller aborts an upload.
 	abortOneIn = 12
 	// numbersPerUploader is the size of the range of request numbers reserved for each uploader.
 	numbersPerUploader = 1_000_000
@@ -34,7 +34,8 @@
 // memory (64 KiB) and send it without waiting for 100 Continue (16 KiB).
 var bodyLengths = []int{0, 1, 3, 900, 17 << 10, 20 << 10, 64 << 10, 64<<10 + 1, 70 << 10, 300 << 10}
 
-// upload is a request with a body, and how its caller sends it.
+// upload is a request with a body, with the way in which its caller sends the body and the progress
+// of sending it.
 type upload struct {
 	*request
 	chunked, expectContinue, slow bool
@@ -45,7 +46,8 @@
 	pieceSeed uint64
 
 	startedAt time.Time
-	// bodyReleased is closed when the caller has received 100 Continue or the response.
+	// bodyReleased is closed when the caller has received 100 Continue or the response, after
+	// which it does not wait any longer before it sends the body.
 	bodyReleased chan struct{}
 	releaseOnce  sync.Once
 	// sentAt is the time at which the last byte was sent, in Unix nanoseconds, or 0.
@@ -54,8 +56,8 @@
 
 func (u *upload) releaseBody() { u.releaseOnce.Do(func() { close(u.bodyReleased) }) }
 
-// uploader is a caller with a persistent raw connection, which it uses until the node closes it or
-// fails.
+// uploader is a caller that sends uploads on a persistent connection, without an HTTP client. It
+// opens a new connection when the node has closed the previous one or has failed.
 type uploader struct {
 	*soak
 	node   int
@@ -102,7 +104,8 @@
 	return true
 }
 
-// nextBatch generates the requests to be pipelined next.
+// nextBatch generates the requests that are pipelined next, that is, sent on the connection without
+// waiting for the responses to earlier ones.
 func (u *uploader) nextBatch() []*upload {
 	n := 1
 	if u.random.IntN(4) == 0 {
