--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -1,6 +1,7 @@
-// Package mutation tests the test suite: it removes each safeguard from the source in turn
-// and expects a test to fail. Without the -mutate flag, it only checks that the list of
-// mutations matches the source.
+// Package mutation tests the test suite by mutation testing. It removes one safeguard after
+// the other from a copy of the source and expects a test to fail each time. Without the
+// -mutate flag, it only checks that the source still contains the text that each mutation
+// replaces.
 //
 //	go test ./internal/mutation -mutate -timeout 30m
 package mutation
@@ -22,9 +23,10 @@
 type mutation struct {
 	safeguard string
 	file      string
-	// old must occur exactly once in file.
+	// old is the source text that is replaced by new. It must occur exactly once in file.
 	old, new string
-	// pkg is the package whose tests must detect the mutation; tests is the -run pattern.
+	// pkg is the package whose tests must detect the mutation, and tests the -run pattern
+	// that selects them.
 	pkg, tests string
 }
 
