--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,5 +1,5 @@
 // Package standin implements a stand-in backend server for trials, tests and benchmarks.
-// It announces itself to a node, and requests control the responses that they get.
+// It announces itself to a node. The query parameters of a request determine its response.
 package standin
 
 import (
@@ -23,7 +23,8 @@
 	// Node is the admin address of the node on the same host. The server does not announce
 	// itself if it is empty.
 	Node string
-	// Slots overrides the estate's number of slots if it is not 0.
+	// Slots is the number of concurrent requests that the server announces. If it is 0, the
+	// number in the estate (the configuration of the services) applies.
 	Slots int
 
 	listener net.Listener
@@ -41,7 +42,7 @@
 	maxConcurrentRequests = 1024
 )
 
-// Listen opens the listener.
+// Listen opens the listener at a TCP address. It must be called before Run.
 func (s *Server) Listen(address string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -59,7 +60,8 @@
 // SetDelay sets the default processing time of a request.
 func (s *Server) SetDelay(d time.Duration) { s.delay.Store(int64(d)) }
 
-// Run serves requests and renews the announcement until ctx is done.
+// Run serves requests until ctx is done. It announces the server to the node at the start
+// and then periodically.
 func (s *Server) Run(ctx context.Context) error {
 	serveErr := make(chan error, 1)
 	go func() { serveErr <- s.http.Serve(s.listener) }()
@@ -78,7 +80,8 @@
 	}
 }
 
-// Announce sends one announcement to the node.
+// Announce sends one announcement to the node: the service, address and slots of the
+// server, and whether it is draining. It returns an error if the node does not accept it.
 func (s *Server) Announce(ctx context.Context) error {
 	if s.Node == "" {
 		return nil
@@ -105,7 +108,7 @@
 	return nil
 }
 
-// Drain announces that this server is draining.
+// Drain marks the server as draining and announces this to the node.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	return s.Announce(ctx)
