--- a/internal/loadgen/loadgen.go
+++ b/internal/loadgen/loadgen.go
@@ -18,13 +18,15 @@
 	"cactuspath/internal/hop"
 )
 
-// Target is one path to a service. Requests go to the targets in turn, so that
-// all targets are measured under the same disturbances.
+// Target is one way to reach a service, for example directly or through a node.
+// Requests are sent to the targets in turn, so that disturbances of the machine affect
+// the latencies of all targets alike.
 type Target struct {
 	Name, Address, Host, Path string
 }
 
-// Result summarizes the requests to one target. Latencies are in microseconds.
+// Result summarizes the requests to one target. P50, P99, P999 and Max are the median,
+// the 99th and 99.9th percentile and the maximum of the latency in microseconds.
 type Result struct {
 	Name   string  `json:"name"`
 	Count  int64   `json:"count"`
@@ -52,8 +54,9 @@
 	latency *hdrhistogram.Histogram
 }
 
-// Run sends requests to each target for the duration, as Poisson arrivals at
-// rate requests per second and target, drawn from the seed.
+// Run sends requests to all targets for the duration and returns a result for each
+// target. The arrivals are a Poisson process, drawn from the seed, with a mean of rate
+// requests per second for each target.
 func Run(ctx context.Context, targets []Target, rate float64, duration time.Duration, seed uint64) []Result {
 	var list []*target
 	for _, t := range targets {
