--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	// minMicros and maxMicros bound the recorded values, in microseconds.
+	// minMicros and maxMicros limit the recorded durations. Values outside this range are
+	// recorded as the limit.
 	minMicros         = 1
 	maxMicros         = int64(time.Hour / time.Microsecond)
 	significantDigits = 2
 )
 
-// Histogram counts durations. Safe for concurrent use.
+// Histogram records the distribution of durations. It is safe for concurrent use.
 type Histogram struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
@@ -26,14 +27,16 @@
 	return &Histogram{histogram: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
 }
 
-// Observe records a duration, clamped to the bounds.
+// Observe records a duration. Durations below 1 µs or above 1 hour are recorded as these
+// limits.
 func (h *Histogram) Observe(took time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_ = h.histogram.RecordValue(min(maxMicros, max(minMicros, took.Microseconds())))
 }
 
-// Summary returns the count, quantiles and maximum since the start, in microseconds.
+// Summary returns the number of durations recorded since New, and their median, 99th and
+// 99.9th percentile and maximum in microseconds, for the metrics.
 func (h *Histogram) Summary() any {
 	h.mu.Lock()
 	defer h.mu.Unlock()
