--- a/deploy/pairs/main.go
+++ b/deploy/pairs/main.go
@@ -1,7 +1,8 @@
-// Command pairs compares checkouts by running the same days of a site on each of them. For each day
-// and seed it runs the baseline and every candidate, and prints the mean difference in worth, its
-// standard error and the share of pairs in which the candidate is better. A single run is not
-// conclusive: results of the same code vary by 0.02 to 0.1 between runs.
+// Command pairs compares checkouts of the source with a benchmark that replays days of traffic of a
+// site. For each day and seed it runs the baseline and every candidate. It prints the mean
+// difference in worth (field G of the benchmark report), its standard error, and the share of pairs
+// in which the candidate is better. A single pair is not conclusive: the worth of the same code
+// varies by 0.02 to 0.1 between runs.
 //
 //	go run ./deploy/pairs -bench PATH -a DIR -b DIR -site FILE -days d1,d2 -seeds 1-8 -why "..."
 package main
@@ -25,7 +26,7 @@
 // options contains the command-line flags.
 type options struct {
 	bench, baseline, candidateFlag, site, days, seeds, journalNote string
-	// candidates contains the checkouts listed in candidateFlag.
+	// candidates contains the directories of the checkouts listed in candidateFlag.
 	candidates []string
 	jobs       int
 	noCPU      bool
@@ -38,7 +39,7 @@
 	seed          int
 }
 
-// result contains the compared fields of the benchmark report.
+// result contains the fields of the benchmark report that are compared or printed.
 type result struct {
 	Worth       float64        `json:"G"`
 	Served      float64        `json:"served"`
@@ -174,7 +175,8 @@
 	return out, json.Unmarshal(data, &out)
 }
 
-// differences collects the differences between the paired results of the baseline and a candidate.
+// differences collects the differences, candidate minus baseline, between results of the same day
+// and seed.
 type differences struct {
 	values      []float64
 	baselineSum float64
@@ -208,7 +210,8 @@
 	return fmt.Sprintf("%3.0f pairs  baseline %.3f  difference %+.4f ± %.4f  improved %.0f %%", n, s.baselineSum/n, mean, stdErr, 100*float64(improved)/n)
 }
 
-// printFailures prints the broken rules, the fault and the floors not reached by a run, if any.
+// printFailures prints the rules that a run broke, its fault, and the floors (minimum values) that
+// it did not reach, if any.
 func printFailures(checkout, day string, seed int, out result) {
 	if len(out.BrokenRules) > 0 || out.Fault != nil || len(out.BelowFloor) > 0 {
 		fmt.Printf("%s %s seed %d: broken rules %v, fault %v, floors not reached %v\n", checkout, day, seed, out.BrokenRules, out.Fault, out.BelowFloor)
