--- a/deploy/short/main.go
+++ b/deploy/short/main.go
@@ -1,5 +1,6 @@
-// Command short lists the days in journal entries that did not pass: those that broke a
-// rule, stayed below a floor, ended in a fault or failed the gate. The summary of a hunt
+// Command short lists the benchmark days in journal entries that did not pass: those that
+// broke a rule, stayed below a floor (a minimum value), ended in a fault or failed the
+// benchmark's gate. It is needed because the summary of a hunt (a search over many days)
 // counts only days that broke a rule.
 //
 // It exits with status 1 if any day did not pass and with status 2 on error.
@@ -19,18 +20,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// entry contains the fields of a journal entry used in the report.
+// entry contains the fields of a journal entry that are needed for the list.
 type entry struct {
 	Site string `json:"site"`
 	Head string `json:"head"`
 	Days []day  `json:"days"`
 }
 
-// day contains the fields of a single day used in the report.
+// day contains the fields of a single benchmark day that are needed for the list.
 type day struct {
 	Name string `json:"name"`
 	Seed int64  `json:"seed"`
-	// Passed reports whether the day passed the gate.
+	// Passed reports whether the day passed the benchmark's gate.
 	Passed bool `json:"gate"`
 	// BrokenRules maps each broken rule to its number of violations.
 	BrokenRules map[string]int `json:"rules"`
--- a/deploy/short/main_test.go
+++ b/deploy/short/main_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestListFailedDays guards against overlooking days that did not pass the gate although
-// they broke no rule.
+// TestListFailedDays guards against a list that omits days which did not pass the
+// benchmark's gate although they broke no rule.
 func TestListFailedDays(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "entry.json")
 	assert.NilError(t, os.WriteFile(file, []byte(`{"site": "a", "head": "0123456789", "days": [
