--- a/internal/emulator/call.go
+++ b/internal/emulator/call.go
@@ -9,7 +9,8 @@
 	"cactuspath/core/retry"
 )
 
-// callOutcome is how a call ended for its caller.
+// callOutcome is the final outcome of a call as its caller sees it: answered, failed, or
+// not run.
 type callOutcome int
 
 const (
@@ -18,8 +19,8 @@
 	callNotRun
 )
 
-// call is one request from its start to its final outcome. It follows the steps of
-// internal/proxy.
+// call is one request to a service, from a host's first attempt to the final outcome,
+// with retries, moves and hedged attempts. It follows the steps of internal/proxy.
 type call struct {
 	sim        *simulation
 	class      *Class
@@ -46,11 +47,12 @@
 	handle  gate.Handle
 	job     *job
 	settled bool
-	// movedTo is the sibling that the gate named.
+	// movedTo is the host of the sibling to which the gate moved the request.
 	movedTo string
 }
 
-// startCall starts a call from a host; done is called with its outcome.
+// startCall starts a call from the host origin and calls done with its final outcome. The
+// call ends at the deadline or after the timeout of its class, whichever is earlier.
 func (sim *simulation) startCall(origin *node, class *Class, deadline time.Duration, done func(callOutcome)) *call {
 	sim.requests++
 	service := sim.scenario.serviceIndex(class.Service)
@@ -85,8 +87,8 @@
 	return c.pool().Pick(c.sim.now(), c.tried)
 }
 
-// sendAttempt sends an attempt to a candidate, which the pool already counts as picked;
-// nil means that there is none.
+// sendAttempt sends an attempt to a candidate that the pool has already counted as picked.
+// If the candidate is nil, no endpoint is available.
 func (c *call) sendAttempt(to *balancer.Candidate) {
 	if to == nil {
 		c.giveUp(c.retryState.GiveUp())
@@ -99,8 +101,8 @@
 	c.sim.deliver(c.origin, a.node, func() { a.node.receive(a) })
 }
 
-// settle ends an attempt. It reports whether this was the first time, and the call is
-// still waiting for an outcome.
+// settle ends an attempt. It returns true if the attempt had not ended before and its call
+// has no final outcome yet.
 func (a *attempt) settle() bool {
 	if a.settled {
 		return false
@@ -123,7 +125,7 @@
 	a.call.finish(end)
 }
 
-// onNotRun handles a gate's response that it did not start the attempt.
+// onNotRun handles a gate's response that the attempt was not run.
 func (a *attempt) onNotRun(e gate.Event) {
 	c := a.call
 	if e.RetryAfter > 0 {
@@ -162,7 +164,8 @@
 	}
 	c.tried = append(c.tried, a.to.Host)
 	if len(c.active) > 0 {
-		// The other attempt is still running and determines the outcome.
+		// The call was hedged. Its other attempt is still running and determines the
+		// outcome.
 		return
 	}
 	c.applyRetryRules(ended, a)
@@ -184,7 +187,9 @@
 	}
 }
 
-// hedge sends a second attempt beside a stuck one, to the sibling that the gate named.
+// hedge sends a hedged attempt to the sibling that the gate named, because this sibling is
+// expected to finish before the attempt that is already running. A call is hedged at most
+// once, if its retry rules and the retry budget permit it.
 func (c *call) hedge(a *attempt, host string) {
 	if c.finished || c.hedged || a.settled || c.retryState.MaxAttempts < 2 {
 		return
@@ -213,7 +218,7 @@
 	}
 }
 
-// finish gives the caller its final outcome and cancels the attempts still running.
+// finish reports the final outcome to the caller and cancels the attempts still running.
 func (c *call) finish(end callOutcome) {
 	if c.finished {
 		return
--- a/internal/emulator/coldstart.go
+++ b/internal/emulator/coldstart.go
@@ -10,29 +10,32 @@
 
 // ColdStart describes how a service's backend servers behave after a start.
 type ColdStart struct {
-	// For is how long a server stays cold; during this time work takes Factor times as long.
+	// For is how long a server is cold after its start. During this time, work takes
+	// Factor times as long.
 	For    Millis  `json:"for"`
 	Factor float64 `json:"factor"`
-	// PerSecond is the rate of requests that a cold server tolerates. It crashes at more
-	// than CrashFactor times this rate, and starts again after Down.
+	// PerSecond is the rate of requests that a cold server tolerates and to which its gate
+	// limits it; 0 means no limit. The server crashes if the rate exceeds CrashFactor times
+	// this value, and restarts after Down. It never crashes if CrashFactor is 0.
 	PerSecond   float64 `json:"perSecond"`
 	CrashFactor float64 `json:"crashFactor"`
 	Down        Millis  `json:"down"`
 }
 
-// coldWindow is the sliding window over which the requests to a cold server are counted.
+// coldWindow is the length of the sliding window in which the requests started at a cold
+// server are counted.
 const coldWindow = time.Second
 
 // serverState is the state of a backend server since its last start.
 type serverState struct {
 	down      bool
 	coldUntil time.Duration
-	// recentStarts are the start times of requests within the last coldWindow.
+	// recentStarts contains the times of the request starts within the last coldWindow.
 	recentStarts []time.Duration
 }
 
-// recordStart records the start of a request and reports whether it exceeds the rate at
-// which a cold server crashes.
+// recordStart records a request start and reports whether it crashes the backend server
+// because the server is cold and the rate of request starts is too high.
 func (n *node) recordStart() bool {
 	s, now := &n.state, n.sim.now()
 	s.recentStarts = append(s.recentStarts, now)
@@ -43,8 +46,8 @@
 	return now < s.coldUntil && cold.CrashFactor > 0 && float64(len(s.recentStarts)) > cold.CrashFactor*cold.PerSecond
 }
 
-// crash ends the backend server, with the loss of its running requests, and restarts it
-// after the given time.
+// crash simulates a crash of the backend server: its running requests are lost, and it
+// restarts after the duration down.
 func (n *node) crash(down time.Duration) {
 	if n.state.down {
 		return
--- a/internal/emulator/coldstart_test.go
+++ b/internal/emulator/coldstart_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// recoveryTolerance bounds how far the value earned after a power loss may fall below
-// that of the same load without one: two standard errors over five seconds of requests
-// at the smallest size.
+// recoveryTolerance limits the difference in earned value, as a share of the possible
+// value, between the time after a power loss and the same period without one. It is two
+// standard errors over five seconds of requests at the smallest size.
 const recoveryTolerance = 0.03
 
 // Guards against a crash loop: servers that lost power at the same time restart cold, get
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -29,14 +29,16 @@
 	return files
 }
 
-// Checks the expectations in each scenario: bounds on the policy that the nodes run, in
-// absolute terms and relative to others under the same requests and the same noise.
+// Checks the expectations in each scenario. They bound the metrics of the production
+// variant, either directly or relative to another variant that is run with the same
+// requests and the same noise.
 func TestScenariosMeetTheirExpectations(t *testing.T) {
 	checkExpectations(t, func(*Scenario) {})
 }
 
-// The same with servers whose running requests follow the speed of the server: the gates
-// must detect which kind of server they have, and meet the expectations with either.
+// Checks the same expectations with backend servers where a change of speed also affects
+// the requests that are already running. The gates are not told which kind of server they
+// have and must meet the expectations with both.
 func TestScenariosMeetTheirExpectationsWithVaryingSpeed(t *testing.T) {
 	checkExpectations(t, func(s *Scenario) { eachService(s, func(v *Service) { v.KeepsPace = false }) })
 }
@@ -94,7 +96,8 @@
 }
 
 // BenchmarkPolicies reports for each policy and scenario the share of requests answered
-// in time, the share of the possible value that was earned, and the p99 of the latency.
+// in time, the earned value as a share of the possible value, and the 99th percentile of
+// the latency.
 func BenchmarkPolicies(b *testing.B) {
 	for _, file := range scenarios(b) {
 		s := readScenario(b, file)
--- a/internal/emulator/heldout_test.go
+++ b/internal/emulator/heldout_test.go
@@ -10,8 +10,9 @@
 	"cactuspath/core/mechanism"
 )
 
-// inTimeTolerance bounds how far the share answered in time may fall below that of
-// least-outstanding: two standard errors of a single run of some 10,000 requests.
+// inTimeTolerance limits how far the share of requests answered in time may be below the
+// share with the policy least-outstanding. It is two standard errors of a single run of
+// some 10,000 requests.
 const inTimeTolerance = 0.01
 
 // Runs held-out deployments, which were not used for tuning: few and many endpoints, few
@@ -55,8 +56,8 @@
 	}
 }
 
-// Without reported slowdowns, completions are the only evidence of a server's speed. This
-// holds for both policies.
+// Checks the policy with backend servers that do not report their slowdown, so that both
+// compared policies can estimate a server's speed only from completed requests.
 func TestServersWithoutReportedSlowdown(t *testing.T) {
 	s := readScenario(t, filepath.Join(folder, "vdm-busy.json"))
 	leastOutstanding, err := Find("least-outstanding")
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -20,16 +20,17 @@
 	service *Service
 	gate    *gate.Gate
 	server  *server
-	// random drives the behaviour of this backend server. It draws the same for every
-	// policy.
+	// random generates the service times, noise and rejections of this backend server. Its
+	// seed does not depend on the variant.
 	random     *rand.Rand
 	requests   map[gate.Handle]*attempt
 	state      serverState
 	lastHandle gate.Handle
 	timerAt    time.Duration
 	observedAt time.Duration
-	// pools and budgets are indexed by service and apply to the calls from this host.
-	// refilledAt is when each budget was last refilled.
+	// pools contains the endpoint pools and budgets the retry budgets for calls from this
+	// host, and refilledAt the times at which the budgets were last refilled. All are
+	// indexed by the called service.
 	pools      []*balancer.Pool
 	budgets    []*retry.Budget
 	refilledAt []time.Duration
@@ -52,11 +53,12 @@
 	return gate.Config{Slots: n.service.Slots, Queue: n.service.Queue, Siblings: n.sim.variant.Siblings, ReportsPerSecond: share, BytesPerSecond: share * gate.ReportBytes, ColdStarts: int(n.service.ColdStart.PerSecond), Disabled: n.sim.variant.Off}
 }
 
-// loadPollInterval is how often a node polls its backend server for its slowdown when no
-// response has carried it.
+// loadPollInterval is the interval at which a node asks its backend server for its
+// slowdown. It doesn't ask if a response has reported the slowdown within the interval.
 const loadPollInterval = 100 * time.Millisecond
 
-// maxLoadAge is how old the last reported slowdown may be when a request arrives.
+// maxLoadAge is the maximum age of the last reported slowdown when a request arrives. If
+// it is older, the node reads the slowdown first.
 const maxLoadAge = 20 * time.Millisecond
 
 func (n *node) pollLoad() {
@@ -107,8 +109,8 @@
 	n.handleEvents(n.gate.Arrive(now, r))
 }
 
-// scheduleTimer schedules the gate's next timer, which ends requests that have waited
-// for too long.
+// scheduleTimer schedules the gate's next timer, at which the gate ends requests that have
+// waited too long in its queue.
 func (n *node) scheduleTimer() {
 	at, ok := n.gate.NextTimer()
 	now := n.sim.now()
@@ -154,7 +156,8 @@
 	n.sim.deliver(n, to, func() { to.gate.ApplyReport(n.sim.now(), report) })
 }
 
-// execute starts an attempt at the backend server.
+// execute passes an attempt to the backend server, which runs it unless it is down or
+// rejects the request.
 func (n *node) execute(a *attempt) {
 	c := a.call
 	if n.state.down {
@@ -186,7 +189,8 @@
 	}
 }
 
-// newJob draws the work of a request, and includes its calls to other services.
+// newJob returns the job for a request, with randomly drawn work and, with the probability
+// given by the class, calls to other services.
 func (n *node) newJob(c *call) *job {
 	class := c.class
 	mean := float64(class.Work.Duration()) * math.Exp(-class.Spread*class.Spread/2)
@@ -200,7 +204,8 @@
 	return &job{parts: []time.Duration{work / 2, work - work/2}, makeCalls: func(called func(bool)) { n.callSequentially(class.Calls, c.deadline, called) }}
 }
 
-// callConcurrently makes all calls at once; called receives whether all were answered.
+// callConcurrently makes all calls at the same time. It calls called with the value true if
+// all of them were answered.
 func (n *node) callConcurrently(classes []string, deadline time.Duration, called func(bool)) {
 	left, allAnswered := len(classes), true
 	for _, name := range classes {
@@ -213,8 +218,8 @@
 	}
 }
 
-// callSequentially makes the calls one after the other, up to the first that is not
-// answered; called receives whether all were.
+// callSequentially makes the calls one after the other and stops after the first that is
+// not answered. It calls called with the value true if all of them were answered.
 func (n *node) callSequentially(classes []string, deadline time.Duration, called func(bool)) {
 	if len(classes) == 0 {
 		called(true)
@@ -229,13 +234,15 @@
 	})
 }
 
-// finishAttempt reports the outcome of a started attempt to the gate.
+// finishAttempt reports the outcome of an attempt to the gate that had passed it to the
+// backend server.
 func (n *node) finishAttempt(a *attempt, outcome gate.Outcome) {
 	delete(n.requests, a.handle)
 	n.handleEvents(n.gate.Finish(n.sim.now(), a.handle, outcome))
 }
 
-// cancelAttempt ends an attempt whose caller is gone or has its outcome already.
+// cancelAttempt ends an attempt whose outcome its caller no longer needs, either at the
+// backend server or in the gate's queue.
 func (n *node) cancelAttempt(a *attempt) {
 	if n.requests[a.handle] != a {
 		return
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -9,13 +9,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result summarizes one run. Shares refer to all requests; those named after the value
-// are weighted by it.
+// Result summarizes one run. Asked is the number of client requests. Value, WorstSeconds,
+// WorstClass and Afterwards are the earned value as a share of the possible value; all
+// other shares are shares of Asked.
 type Result struct {
 	Policy string `json:"policy"`
 	Asked  int    `json:"asked"`
-	// Value is the share of the possible value that was earned. WorstSeconds is the same
-	// share for the two worst windows of two seconds, WorstClass for the worst class.
+	// Value covers the whole run. WorstSeconds is the mean of the two windows of two
+	// seconds in which the share is lowest, and WorstClass is the lowest share of any class.
 	Value        float64 `json:"value"`
 	WorstSeconds float64 `json:"worstSeconds"`
 	WorstClass   float64 `json:"worstClass"`
@@ -23,7 +24,8 @@
 	// share that were answered in time.
 	Served float64 `json:"served"`
 	InAim  float64 `json:"inAim"`
-	// RefusedTwice is the share that was sent again after a refusal and not answered then.
+	// RefusedTwice is the share of requests that a client retried because they had not been
+	// run, and that were not answered after the retry either.
 	RefusedTwice float64 `json:"refusedTwice"`
 	P50          float64 `json:"p50Ms"`
 	P99          float64 `json:"p99Ms"`
@@ -33,15 +35,16 @@
 	Hedges       float64 `json:"hedgesPerRequest"`
 	RunTwice     int     `json:"runTwice"`
 	FalseNotRun  int     `json:"falseNotRun"`
-	// Crashes counts the crashes of cold servers under too many requests.
+	// Crashes counts the crashes of cold servers that got requests at too high a rate.
 	Crashes int `json:"crashes"`
-	// Afterwards is the share of the possible value that was earned from two seconds
-	// after the last event, counted from when servers that had to restart are warm.
+	// Afterwards covers the requests first sent two seconds or more after the last event
+	// has ended and the servers that it restarted are warm.
 	Afterwards float64       `json:"afterwards"`
 	Classes    []ClassResult `json:"classes"`
 }
 
-// ClassResult summarizes the requests of one class.
+// ClassResult summarizes the requests of one class: the number of client requests, the
+// numbers by outcome, and the earned value as a share of the possible value.
 type ClassResult struct {
 	Class   string  `json:"class"`
 	Asked   int     `json:"asked"`
@@ -52,7 +55,7 @@
 	Value   float64 `json:"value"`
 }
 
-// windowLength is the length of the windows that WorstSeconds is computed from.
+// windowLength is the length of the windows from which Result.WorstSeconds is computed.
 const windowLength = 2 * time.Second
 
 // valueTally is the value that was earned and that could have been earned.
@@ -79,8 +82,8 @@
 	hedges                      int
 	runTwice, falseNotRun       int
 	crashes                     int
-	// recoveredAt is when the service should have recovered from the last event; seconds
-	// holds a tally for each second.
+	// recoveredAt is the start of the period that Result.Afterwards covers. seconds
+	// contains a tally for each second of the run.
 	recoveredAt time.Duration
 	seconds     []valueTally
 }
@@ -113,8 +116,8 @@
 // recoveryAllowance is how long a service may take to recover once its servers are warm.
 const recoveryAllowance = 2 * time.Second
 
-// recoveryEnd returns when the last event is over, its servers are warm, and the
-// recoveryAllowance has passed.
+// recoveryEnd returns the time at which all services should have recovered: recoveryAllowance
+// after the last event has ended and the servers that it restarted are warm.
 func recoveryEnd(s *Scenario) (at time.Duration) {
 	cold := time.Duration(0)
 	for _, service := range s.Services {
@@ -188,7 +191,7 @@
 	return r
 }
 
-// worstSeconds returns the mean of the two worst windows.
+// worstSeconds returns the mean share of earned value in the two windows where it is lowest.
 func (c *collector) worstSeconds() float64 {
 	var shares []float64
 	for _, w := range c.windows {
@@ -203,7 +206,7 @@
 	return (shares[0] + shares[1]) / 2
 }
 
-// metrics returns every figure under the name that an Expect uses.
+// metrics returns the values of all metrics by the names used in Expect.Metric.
 func (r *Result) metrics() map[string]float64 {
 	return map[string]float64{
 		"value": r.Value, "worstSeconds": r.WorstSeconds, "worstClass": r.WorstClass, "served": r.Served, "inAim": r.InAim, "refusedTwice": r.RefusedTwice,
@@ -213,8 +216,8 @@
 	}
 }
 
-// Check describes the scenario's expectations that the results miss. Expectations whose
-// policies were not run are skipped.
+// Check returns a description of each expectation of the scenario that the results do not
+// meet. It skips expectations that refer to a policy without a result.
 func Check(s *Scenario, results []*Result) (misses []string) {
 	byName := map[string]*Result{}
 	for _, r := range results {
@@ -239,8 +242,8 @@
 	return misses
 }
 
-// PoliciesNeeded lists the policies that a scenario's expectations refer to, after the
-// one that the nodes run.
+// PoliciesNeeded returns the names of the variants that must be run to check the scenario:
+// ProductionVariant, followed by those that the expectations refer to.
 func PoliciesNeeded(s *Scenario) []string {
 	names := []string{ProductionVariant}
 	for _, e := range s.Expect {
--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -27,7 +27,8 @@
 
 func (sim *simulation) now() time.Duration { return sim.clock.Now() }
 
-// Run runs the scenario with a variant.
+// Run simulates the scenario with a variant and returns the results. Runs with the same
+// arguments give the same results.
 func Run(scenario *Scenario, variant Variant, seed uint64) *Result {
 	sim := &simulation{scenario: scenario, variant: variant, seed: seed, byHost: map[string]*node{}, trafficFactor: 1, result: newCollector(variant.Name, scenario)}
 	sim.build()
@@ -49,8 +50,8 @@
 	return sim.result.finish()
 }
 
-// randomStream returns an independent random stream for each purpose, so that all
-// policies run under the same noise and the same arrivals.
+// randomStream returns a random stream that depends only on the seed and the purpose. The
+// noise and the arrivals are therefore the same for all variants.
 func (sim *simulation) randomStream(purpose uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(sim.seed, purpose))
 }
@@ -105,7 +106,7 @@
 	return sim.scenario.Far.Duration()
 }
 
-// deliver runs an event when a message from one node has arrived at another.
+// deliver calls run after the network delay from one node to another.
 func (sim *simulation) deliver(from, to *node, run func()) {
 	sim.clock.After(sim.distance(from, to), run)
 }
@@ -122,14 +123,16 @@
 	})
 }
 
-// issueRequest sends a new request from a random host. Its client retries once.
+// issueRequest sends a new client request from a random host. The client retries it once
+// if it was not run, or if it failed and is idempotent.
 func (sim *simulation) issueRequest(c *Class, random *rand.Rand) {
 	r := &clientRequest{sim: sim, class: c, firstSent: sim.now(), deadline: sim.now() + c.Timeout.Duration()}
 	sim.result.recordRequest(r)
 	r.send(sim.nodes[random.IntN(len(sim.nodes))], 1)
 }
 
-// clientRequest is a request of a client, the original caller, with its one retry.
+// clientRequest is a request as the client sees it. It is sent as one call or, with the
+// client's retry, as two.
 type clientRequest struct {
 	sim       *simulation
 	class     *Class
@@ -139,10 +142,11 @@
 }
 
 const (
-	// retryWaitDivisor bounds the wait before a retry, to the time left until the
-	// deadline divided by it.
+	// retryWaitDivisor limits the wait before a client's retry to one third of the time
+	// left until the deadline.
 	retryWaitDivisor = 3
-	// defaultRetryWait is the wait before a retry if the response did not specify one.
+	// defaultRetryWait is the wait before a client's retry if the response did not specify
+	// one.
 	defaultRetryWait = 50 * time.Millisecond
 )
 
@@ -219,7 +223,8 @@
 	}
 }
 
-// clearDraining tells all callers that a returned host no longer drains.
+// clearDraining removes the draining mark of a restarted host from the endpoint pools of
+// all callers.
 func (sim *simulation) clearDraining(returned *node) {
 	for _, n := range sim.nodes {
 		for i := range n.pools {
@@ -230,8 +235,9 @@
 	}
 }
 
-// bestServer returns the endpoint that would finish the call first. It uses state that
-// no caller has: every server's slowdown and the number of requests at its gate.
+// bestServer returns the endpoint that is expected to finish the call first. It uses the
+// current slowdown of every server and the number of requests at its gate, which real
+// callers do not know.
 func (sim *simulation) bestServer(c *call) *balancer.Candidate {
 	var best *node
 	var soonest float64
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -3,10 +3,11 @@
 // the nodes (core/balancer, core/gate, core/retry). The same scenario and seed give
 // the same figures.
 //
-// Package replay simulates a single service to the microsecond. Here, a request
-// holds its slot while it calls other services; backend servers report how slow
-// they are, slow down under load, start cold and reject requests; and clients
-// retry once. docs/emulator.md describes scenarios.
+// In contrast to package replay, which simulates a single service to the microsecond,
+// this package models dependencies between services: a request holds its slot while
+// it calls other services. Backend servers report the factor by which they are
+// slower than normal, slow down at high concurrency, start cold and reject requests.
+// Clients retry once. docs/emulator.md describes scenarios.
 package emulator
 
 import (
@@ -29,12 +30,13 @@
 type Scenario struct {
 	Name string `json:"name"`
 	// DataCenters is the number of data centres that the endpoints of each service are
-	// spread over. Near and Far are the one-way delays within one and between two.
+	// spread over. Near is the one-way network delay between two hosts in the same data
+	// centre, and Far between hosts in different ones.
 	DataCenters int    `json:"dataCenters"`
 	Near        Millis `json:"near"`
 	Far         Millis `json:"far"`
 	Duration    Millis `json:"duration"`
-	// RetryBudget bounds the retries and hedges of all nodes together.
+	// RetryBudget limits the retries and hedged requests of all nodes together.
 	RetryBudget RetryBudget `json:"retry"`
 	Services    []Service   `json:"services"`
 	Classes     []Class     `json:"classes"`
@@ -42,52 +44,58 @@
 	Expect      []Expect    `json:"expect"`
 }
 
-// RetryBudget is the retry budget that the nodes share.
+// RetryBudget limits the retries and hedged requests of all nodes together: in each Window,
+// to Ratio times the number of calls plus Slack.
 type RetryBudget struct {
 	Ratio  float64 `json:"ratio"`
 	Slack  float64 `json:"slack"`
 	Window Millis  `json:"window"`
 }
 
-// Service is one service and its backend servers.
+// Service describes a service: its endpoints, each with a backend server of Slots
+// concurrent requests and a gate that queues up to Queue more, and their behaviour.
 type Service struct {
 	Name      string `json:"name"`
 	Endpoints int    `json:"endpoints"`
 	Slots     int    `json:"slots"`
 	Queue     int    `json:"queue"`
-	// Crowd is the share of slots in use above which work takes CrowdFactor times as
-	// long; 0 turns the slowdown off.
+	// Crowd is the share of slots in use above which contention makes work take
+	// CrowdFactor times as long. 0 disables contention.
 	Crowd       float64 `json:"crowd"`
 	CrowdFactor float64 `json:"crowdFactor"`
 	Noise       Noise   `json:"noise"`
-	// KeepsPace makes a request keep the slowdown of its start until its end. Otherwise
-	// running requests follow the slowdown as it changes.
+	// KeepsPace fixes the slowdown of a request when it starts to run. If false, a change
+	// in the server's slowdown also affects the requests that are already running.
 	KeepsPace bool `json:"keepsPace"`
-	// ReportsPerSecond is the budget for load reports of the whole service.
+	// ReportsPerSecond limits the load reports between the gates of the whole service.
 	ReportsPerSecond int `json:"reportsPerSecond"`
 	// ColdStart describes how servers behave after a restart.
 	ColdStart ColdStart `json:"cold"`
 }
 
-// Noise is the interference of neighbours on the host: in each interval of length Every,
-// work takes Factor times as long with probability Share.
+// Noise is the interference of other programs on the host. Time is divided into intervals
+// of length Every. In each of them work takes Factor times as long with probability Share,
+// and the normal time otherwise.
 type Noise struct {
 	Share  float64 `json:"share"`
 	Factor float64 `json:"factor"`
 	Every  Millis  `json:"every"`
 }
 
-// Class is a class of requests.
+// Class describes the requests of one kind to a service: their rate, work, latency
+// target, value and the calls that they make to other services.
 type Class struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
-	// PerSecond is the rate over all callers; 0 for a class that only backend servers call.
+	// PerSecond is the rate of requests from all clients together. It is 0 for a class
+	// that is called only by backend servers of other services.
 	PerSecond float64 `json:"perSecond"`
 	// Work is the mean service time at normal speed. Service times are lognormal, and
 	// Spread is the standard deviation of their logarithm.
 	Work   Millis  `json:"work"`
 	Spread float64 `json:"spread"`
-	// Aim is the latency up to which an answer earns Value; a later one earns LateValue.
+	// Aim is the target latency. A request answered within it earns Value, and one
+	// answered later earns LateValue.
 	Aim        Millis  `json:"aim"`
 	Timeout    Millis  `json:"timeout"`
 	Value      float64 `json:"value"`
@@ -95,24 +103,27 @@
 	Priority   int     `json:"priority"`
 	Idempotent bool    `json:"idempotent"`
 	Bulky      bool    `json:"bulky"`
-	// MaxAttempts is the number of backend servers that a request may reach.
+	// MaxAttempts limits the number of backend servers to which a request is sent.
 	MaxAttempts int `json:"maxAttempts"`
-	// Calls lists the classes that a share CallShare of the requests call, halfway through
-	// their work, either one after the other or all Together.
+	// Calls lists the classes of the requests that a backend server sends to other services
+	// halfway through the work of a request, with probability CallShare. They are sent
+	// concurrently if Together is set and one after the other otherwise.
 	Calls     []string `json:"calls"`
 	CallShare float64  `json:"callShare"`
 	Together  bool     `json:"together"`
 }
 
-// Event is a temporary change in traffic or in the behaviour of backend servers.
+// Event is a change in traffic or in the behaviour of backend servers that starts at At and
+// lasts for For.
 type Event struct {
-	// Kind is one of burst, slow, cold (slow, and announced as a cold start), reject,
-	// stop and restart (the servers end, and start again cold after For).
+	// Kind is one of burst (more traffic), slow, cold (slow, and announced to the gates as a
+	// cold start), reject, stop (the servers drain) and restart (the servers crash and
+	// restart after For, cold).
 	Kind string `json:"kind"`
 	At   Millis `json:"at"`
 	For  Millis `json:"for"`
-	// Service is the service whose endpoints are affected, or empty for all services, and
-	// Share is the share of these endpoints.
+	// Service is the service whose endpoints are affected, or empty for all services.
+	// Share is the share of these endpoints that is affected.
 	Service string  `json:"service"`
 	Share   float64 `json:"share"`
 	// Factor is the factor by which traffic grows or work slows down, or the share of
@@ -120,8 +131,8 @@
 	Factor float64 `json:"factor"`
 }
 
-// Expect bounds a metric of a policy, either the value itself or its ratio to the value
-// of another policy.
+// Expect requires a metric of a run with Policy to be at least Min and at most Max. If
+// RatioTo is set, the bounds apply to the ratio to the same metric of a run with that policy.
 type Expect struct {
 	Policy  string   `json:"policy"`
 	Metric  string   `json:"metric"`
@@ -137,7 +148,7 @@
 	eventCold   = "cold"
 	eventReject = "reject"
 	eventStop   = "stop"
-	// eventRestart is a power loss of the backend servers.
+	// eventRestart crashes the backend servers at the same time, as a power loss does.
 	eventRestart = "restart"
 )
 
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -6,13 +6,15 @@
 	"cactuspath/internal/virtual"
 )
 
-// server models a backend server: its running requests all proceed at the same speed. A
-// request that waits for calls of its own holds its slot and makes no progress.
+// server models a backend server. All of its running requests proceed at the same speed. A
+// request that waits for its calls to other services holds its slot and makes no progress.
 type server struct {
 	slots int
-	// Above the share crowdShare of slots in use, work takes crowdFactor times as long.
+	// crowdShare is the share of slots in use above which contention makes work take
+	// crowdFactor times as long. 0 disables contention.
 	crowdShare, crowdFactor float64
-	// noise and slowness are the factors of the slowdown that the server reports.
+	// noise is the slowdown by other programs on the host, and slowness the slowdown by
+	// events and cold starts. The server reports their product.
 	noise, slowness float64
 	keepsPace       bool
 	rejectShare     float64
@@ -26,12 +28,12 @@
 	return s
 }
 
-// job is one request at a server. Its work has parts, with calls to other services in
-// between.
+// job is a request that runs at a server. Its work consists of one part, or of two with
+// calls to other services between them.
 type job struct {
 	parts []time.Duration
-	// slowdown is the factor by which each part takes longer, at a server where requests
-	// keep the slowdown of their start.
+	// slowdown is the server's slowdown at the start of the job. It applies to all parts
+	// if the server's keepsPace is set, and is unused otherwise.
 	slowdown  float64
 	makeCalls func(called func(ok bool))
 	ended     bool
@@ -52,8 +54,9 @@
 	return speed
 }
 
-// update accounts for the time up to now at the old speed, applies a change that may
-// affect the speed, and reschedules the next completion.
+// update applies a change that may affect the server's speed. Before, it updates the
+// progress of the running jobs at the old speed, and afterwards it reschedules the next
+// completion.
 func (s *server) update(change func()) {
 	s.jobs.Advance()
 	change()
@@ -97,8 +100,8 @@
 	j.done(ok)
 }
 
-// finishPart ends one part of a job; the calls before the next part follow, or the end of
-// the job.
+// finishPart ends one part of a job. Then the job makes its calls to other services, or it
+// ends if this was the last part.
 func (s *server) finishPart(j *job) {
 	if len(j.parts) == 0 {
 		s.finish(j, true)
--- a/internal/emulator/variants.go
+++ b/internal/emulator/variants.go
@@ -16,11 +16,13 @@
 // Variant is a configuration of the decision code that a scenario can be run with.
 type Variant struct {
 	Name string
-	// Build returns the balancing policy of one caller.
+	// Build returns a new balancing policy, which one caller uses to pick endpoints.
 	Build func(*rand.Rand) balancer.Policy
-	// Siblings makes the gates exchange load reports and move requests to each other.
+	// Siblings lets the gates of a service exchange load reports and move waiting requests
+	// to each other.
 	Siblings bool
-	// Omniscient picks servers by their actual state instead of the policy.
+	// Omniscient replaces the policy by a choice based on the current state of every
+	// server, which real callers do not know. It serves as an upper bound.
 	Omniscient bool
 	// Off is the set of disabled mechanisms.
 	Off mechanism.Set
