--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -150,7 +150,7 @@
 		return nil
 	case apiv1.Outcome_OUTCOME_CONFLICT:
 		return &OutcomeError{ExitConflict, fmt.Sprintf("conflict: the newest revision is %d, not the one this change is based on; nothing was changed. "+
-			"See the changes since with `cactusctl diff FILE`, then submit with --base %d", r.Revision, r.Revision)}
+			"See what came between with `cactusctl diff FILE`, then submit with --base %d", r.Revision, r.Revision)}
 	case apiv1.Outcome_OUTCOME_ID_REUSED:
 		return &OutcomeError{ExitRefused, "refused: this change id was used for another change; nothing was changed. Use a new id"}
 	}
